--- a/src/brain.h
+++ b/src/brain.h
@@ -89,7 +89,7 @@
 constexpr int kUnknownZone = -2;  // matches no endpoint's zone, known or not
 
 // What was tried before a restart for a message that is resumed after it.
-struct Past {
+struct PriorAttempts {
   int attempts = 0;
   bool may_have_run = false;
   Micros first_run{0};  // send time, as run_zone is the zone, of the first attempt that may have run
@@ -101,16 +101,26 @@
   int message_class = 0;
   int tenant = 0;
   std::string key;  // order key; empty: none
-  Micros give_up_at{0};
+  Micros deadline{0};
   std::uint64_t destination = 0;
-  std::uint64_t place = 0;  // in the order taken, of its key; equal: as told
-  Past past{};
+  std::uint64_t order_position = 0;  // in the order taken, of its key; equal: as told
+  PriorAttempts past{};
   bool ended = false;   // before a restart; its answer is still on its way
   RepeatRules rules{};  // from its birth, whatever its class says by now
 };
 
-// Garbled: it ran and was answered, but with what can't be read.
-enum class Result { kOk, kError, kFull, kTimeout, kNoConnection, kReset, kCancelled, kNotSent, kGarbled };
+// Unreadable: it ran and was answered, but with what can't be read.
+enum class Result {
+  kOk,
+  kError,
+  kRefused,
+  kTimeout,
+  kNoConnection,
+  kReset,
+  kCancelled,
+  kNotSent,
+  kUnreadable
+};
 
 struct LoadReport {
   double left = -1;   // share of the limit left; negative: not told
@@ -124,14 +134,14 @@
   Result result = Result::kNotSent;
   Micros latency{0};
   bool last = false;  // the message has concluded
-  Micros wait{0};     // told with kFull; zero: none told
+  Micros wait{0};     // told with kRefused; zero: none told
   LoadReport load;
-  bool untold = false;  // with last: OnAnswerTold follows, and its key waits for that
+  bool answer_pending = false;  // with last: OnAnswerDelivered follows, and its key waits for that
 };
 
 // What is believed of a destination or endpoint. Warm: it serves. Probing: a call failed, it may be down.
 // Slow start: it answered again and may be cold.
-enum class Recovery : std::uint8_t { kWarm, kProbing, kSlowStart };
+enum class Recovery : std::uint8_t { kHealthy, kProbing, kSlowStart };
 enum class RecoveryCause : std::uint8_t {
   kCallFailed,
   kCallRefused,
@@ -145,7 +155,7 @@
 struct RecoveryChange {
   std::uint64_t destination = 0;
   EndpointId endpoint;  // empty: the destination as a whole
-  Recovery from = Recovery::kWarm, to = Recovery::kWarm;
+  Recovery from = Recovery::kHealthy, to = Recovery::kHealthy;
   RecoveryCause cause = RecoveryCause::kCallFailed;
   double allowance = 0;     // calls that may be made at once
   double spent = 0;         // calls since it was last warm
@@ -163,11 +173,11 @@
 enum class GiveUpCause : std::uint8_t {
   kOutOfTime,
   kNoAttemptsLeft,
-  kMayHaveRun,   // and its rules allow no repeat
-  kKeyLifeOver,  // it may have run, and receivers may no longer remember its key
-  kToldToWait,   // past its time, at every endpoint
-  kNotListed,    // no list has ever named its destination
-  kNoRoom,       // it promised least of what is held
+  kMayHaveRun,         // and its rules allow no repeat
+  kKeyExpired,         // it may have run, and receivers may no longer remember its key
+  kRetryAfterTooLong,  // past its time, at every endpoint
+  kNotListed,          // no list has ever named its destination
+  kLoadShed,           // it promised least of what is held
 };
 
 // What the module does to the world. Every call takes effect at the present turn.
@@ -175,7 +185,8 @@
  public:
   virtual ~Host() = default;
   virtual void Send(MessageId id, const EndpointId& endpoint, Micros timeout) = 0;
-  // Final answers. True: told at once. False: on its way, and the module hears OnAnswerTold once it is there.
+  // Final answers. True: told at once. False: on its way, and the module hears OnAnswerDelivered once it is
+  // there.
   virtual bool Refuse(MessageId id, Micros not_before, GiveUpCause cause) = 0;  // harmless to hand in again
   virtual bool Fail(MessageId id, GiveUpCause cause) = 0;                       // no promise about the effect
   virtual void SetTimer(Micros at) = 0;  // asks for a turn at that time, with or without other events
@@ -186,7 +197,7 @@
 
 // Sizes of the state that an instance holds, for tests and monitoring.
 struct Footprint {
-  std::size_t messages = 0, keys = 0, lanes = 0, endpoints = 0, calls = 0;
+  std::size_t messages = 0, keys = 0, rate_scopes = 0, endpoints = 0, calls = 0;
 };
 
 // One sender's decisions. Instances share nothing. Events of one turn are fed in order, between OnTurnStart
@@ -202,11 +213,11 @@
   virtual void OnMessage(const Message& message) = 0;
   virtual void OnOutcome(const Outcome& outcome) = 0;
   // Told by an endpoint, though not by an answer that ended a call.
-  virtual void OnToldWait(const EndpointId& endpoint, Micros wait) = 0;
+  virtual void OnRetryAfter(const EndpointId& endpoint, Micros wait) = 0;
   virtual void OnWithdrawn(MessageId id) = 0;
-  virtual void OnAnswerTold(MessageId id) = 0;  // a final answer that was on its way has arrived
-  virtual void OnStop(Micros at) = 0;           // the process ends then; what is held is resumed after it
-  virtual void OnZoneUnsure(
+  virtual void OnAnswerDelivered(MessageId id) = 0;  // a final answer that was on its way has arrived
+  virtual void OnStop(Micros at) = 0;  // the process ends then; what is held is resumed after it
+  virtual void OnZoneLost(
       int zone) = 0;  // agreed with other senders: endpoints there may have gone down unseen
   // In force from this turn on, for what is held as well; messages keep the rules that they carry. Classes
   // and tenants keep their numbers, new ones follow; seed, tick, zones and how lists come stay as they were.
--- a/src/brain/answers.h
+++ b/src/brain/answers.h
@@ -13,15 +13,15 @@
   // Where a message stands of those that wait or are out; anew when taken, sent, settled or ended.
   void Place(Held& held) {
     const MessageId id = held.message.id;
-    const std::pair by_time(held.message.give_up_at, id), newest(held.message.give_up_at, ~id);
+    const std::pair by_time(held.message.deadline, id), newest(held.message.deadline, ~id);
     waiting_due_.erase({held.due, id}), out_due_.erase({held.due, id});
     held.home->waiting.erase(by_time);
     if (held.home->waiting.empty()) busy_.erase(held.message.destination);
     if (std::exchange(held.refusable, false))
       RoomOf(held).by_time.erase(newest), RoomOf(held).by_id.erase(id);
     if (held.ended) return;
-    held.due = held.out ? held.message.give_up_at + set_.tick
-                        : std::min(held.message.give_up_at - 2 * set_.tick, RepeatUntil(held));
+    held.due = held.out ? held.message.deadline + set_.tick
+                        : std::min(held.message.deadline - 2 * set_.tick, RepeatUntil(held));
     (held.out ? out_due_ : waiting_due_).emplace(held.due, id);
     if (held.out) return;
     held.home->waiting.emplace(by_time, &held);
@@ -37,8 +37,8 @@
     if (held.ordered || (held.ended && !held.untold) || !HasPlaceInOrder(held)) return;
     held.ordered = true;
     auto& order = keys_[message.key].order;
-    const auto older = [&](auto at, auto id) { return !held_.at(id).out && at < held_.at(id).message.place; };
-    order.insert(std::upper_bound(order.begin(), order.end(), message.place, older), message.id);
+    const auto older = [&](auto at, auto id) { return !held_.at(id).out && at < held_.at(id).message.order_position; };
+    order.insert(std::upper_bound(order.begin(), order.end(), message.order_position, older), message.id);
     if (message.past.may_have_run) keys_[message.key].rest_until = now_ + set_.turn_gap;  // may run on
   }
 
@@ -64,11 +64,11 @@
   }
 
   bool CanStillArrive(const Held& held) {
-    if (held.message.give_up_at - now_ <= 2 * set_.tick) return false;
+    if (held.message.deadline - now_ <= 2 * set_.tick) return false;
     std::vector<Route>& routes = held.home->routes;  // none: the list may be behind
-    if (routes.empty()) return held.home->shared.pause_until < held.message.give_up_at;
+    if (routes.empty()) return held.home->shared.pause_until < held.message.deadline;
     return std::any_of(routes.begin(), routes.end(),
-                       [&](Route& route) { return LaneOf(route).pause_until < held.message.give_up_at; });
+                       [&](Route& route) { return LaneOf(route).pause_until < held.message.deadline; });
   }
 
   void LookAtAll() {
@@ -90,7 +90,7 @@
       const auto it = held_.find(id);
       if (it == held_.end()) continue;  // withdrawn since
       Held& held = it->second;
-      const bool overdue = now_ >= held.message.give_up_at + set_.tick;
+      const bool overdue = now_ >= held.message.deadline + set_.tick;
       const bool stray = list_told_ && held.home->listed == Micros::min();  // to what was never on the list
       if (stray || (held.out ? overdue : !MayAttempt(held) || !CanStillArrive(held)))
         Answer(held, stray ? GiveUpCause::kNotListed : CauseOf(held));
@@ -112,7 +112,7 @@
         if (least == nullptr || rank < best) least = held, best = rank;
       }
       if (least == nullptr) return;
-      Answer(*least, GiveUpCause::kNoRoom);
+      Answer(*least, GiveUpCause::kLoadShed);
     }
   }
 };
--- a/src/brain/brain.cpp
+++ b/src/brain/brain.cpp
@@ -73,7 +73,7 @@
     Held& held = it->second;
     Call& call = calls_.at(held.call);
     Route& route = *Find(*call.home, call.endpoint);  // kept while a call is out
-    held.out = false, held.untold |= outcome.untold;
+    held.out = false, held.untold |= outcome.answer_pending;
     NoteAttempt(held, call, route, outcome.result);
     NoteEndpoint(call, route, outcome);
     if (--call.waiting == 0) EndCall(held.call, call, route, outcome.result);
@@ -81,7 +81,7 @@
     outcome.last && !held.ended ? End(held) : Release(held);
   }
 
-  void OnToldWait(const EndpointId& endpoint, Micros wait) override {
+  void OnRetryAfter(const EndpointId& endpoint, Micros wait) override {
     for (auto& [id, home] : destinations_) {
       Route* route = Find(home, endpoint);
       if (route != nullptr) Pause(home, LaneOf(*route), wait);
@@ -92,14 +92,14 @@
     if (auto it = held_.find(id); it != held_.end()) End(it->second);
   }
 
-  void OnAnswerTold(MessageId id) override {
+  void OnAnswerDelivered(MessageId id) override {
     if (const auto it = held_.find(id); it != held_.end() && std::exchange(it->second.untold, false))
       if (it->second.ordered) Release(it->second);
   }
 
   void OnStop(Micros at) override { stop_at_ = at; }
 
-  void OnZoneUnsure(int zone) override {
+  void OnZoneLost(int zone) override {
     for (auto& [id, home] : destinations_) {
       for (Route& route : home.routes)
         if (route.endpoint.zone == zone) LoseZone(route);
@@ -119,7 +119,7 @@
     if (it == held_.end() || it->second.ended || !it->second.out) return false;
     const Call& call = calls_.at(it->second.call);
     Route& route = *Find(*call.home, call.endpoint);  // kept while a call is out
-    const Micros end = std::min({it->second.message.give_up_at, outdated_from_, RepeatUntil(it->second)});
+    const Micros end = std::min({it->second.message.deadline, outdated_from_, RepeatUntil(it->second)});
     return now < end && route.endpoint.state == EndpointState::kReady && now >= LaneOf(route).pause_until;
   }
 
@@ -146,9 +146,9 @@
   SlowStartFigures slow_start() const override {
     SlowStartFigures figures{0, slow_start_calls_};
     for (const auto& [id, home] : destinations_) {
-      figures.recovering += RecoveryOf(home.shared.health) != Recovery::kWarm;
+      figures.recovering += RecoveryOf(home.shared.health) != Recovery::kHealthy;
       for (const Route& route : home.routes)
-        figures.recovering += route.kind.separate_routes && RecoveryOf(route.own.health) != Recovery::kWarm;
+        figures.recovering += route.kind.separate_routes && RecoveryOf(route.own.health) != Recovery::kHealthy;
     }
     return figures;
   }
@@ -157,8 +157,8 @@
     Footprint sizes{held_.size(), keys_.size(), 0, 0, calls_.size()};
     for (const auto& [id, destination] : destinations_) {
       sizes.endpoints += destination.routes.size();
-      sizes.lanes += destination.shared.used > Micros::min();
-      for (const Route& route : destination.routes) sizes.lanes += route.own.used > Micros::min();
+      sizes.rate_scopes += destination.shared.used > Micros::min();
+      for (const Route& route : destination.routes) sizes.rate_scopes += route.own.used > Micros::min();
     }
     return sizes;
   }
@@ -190,7 +190,7 @@
 
   void Forget(Lane& lane, bool listed) const {
     if (lane.used == Micros::min() || lane.out > 0 || now_ - lane.used <= kForgetAfter) return;
-    if (now_ >= lane.pause_until && (!listed || RecoveryOf(lane.health) == Recovery::kWarm))
+    if (now_ >= lane.pause_until && (!listed || RecoveryOf(lane.health) == Recovery::kHealthy))
       lane = Lane(lane.listed);
   }
 
--- a/src/brain/claims.h
+++ b/src/brain/claims.h
@@ -36,7 +36,7 @@
 
   // Worth of an answer that comes `ahead` from now.
   double Worth(const Held& held, Micros ahead) const {
-    const Micros left = held.message.give_up_at - now_ - ahead;
+    const Micros left = held.message.deadline - now_ - ahead;
     if (left <= Micros(0) || now_ + ahead > RepeatUntil(held)) return 0;
     const double full = held.c->worth * (held.over_share ? set_.over_share_worth : 1);
     const Micros fade = held.c->deadline - held.c->aim, late = fade - left;
--- a/src/brain/guard.h
+++ b/src/brain/guard.h
@@ -16,7 +16,7 @@
 
   // Rules 1 and 2: whether another attempt may be made at all.
   bool MayAttempt(const Held& held) const {
-    if (held.ended || held.out || now_ >= held.message.give_up_at) return false;
+    if (held.ended || held.out || now_ >= held.message.deadline) return false;
     if (set_.max_attempts > 0 && held.message.past.attempts >= set_.max_attempts) return false;
     if (!held.message.past.may_have_run || held.message.rules.effect == Effect::kSafe) return true;
     return held.message.rules.effect == Effect::kKeyed && held.message.rules.group != Group::kCell &&
@@ -25,11 +25,11 @@
 
   // Why MayAttempt says no, or the message can't arrive in time.
   GiveUpCause CauseOf(const Held& held) const {
-    if (now_ >= held.message.give_up_at - 2 * set_.tick) return GiveUpCause::kOutOfTime;
+    if (now_ >= held.message.deadline - 2 * set_.tick) return GiveUpCause::kOutOfTime;
     if (set_.max_attempts > 0 && held.message.past.attempts >= set_.max_attempts)
       return GiveUpCause::kNoAttemptsLeft;
-    if (MayAttempt(held)) return GiveUpCause::kToldToWait;
-    return now_ > RepeatUntil(held) ? GiveUpCause::kKeyLifeOver : GiveUpCause::kMayHaveRun;
+    if (MayAttempt(held)) return GiveUpCause::kRetryAfterTooLong;
+    return now_ > RepeatUntil(held) ? GiveUpCause::kKeyExpired : GiveUpCause::kMayHaveRun;
   }
 
   // Rule 5: the earliest message of its key that is unfinished, and no rest on the key.
--- a/src/brain/outcomes.h
+++ b/src/brain/outcomes.h
@@ -14,12 +14,12 @@
     return result == Result::kTimeout || result == Result::kReset || result == Result::kCancelled;
   }
   static bool MayHaveRun(Result result) {
-    return MayRunOn(result) || result == Result::kGarbled || result == Result::kError;
+    return MayRunOn(result) || result == Result::kUnreadable || result == Result::kError;
   }
 
   // Rules 2 and 5: what the message may still do.
   void NoteAttempt(Held& held, const Call& call, const Route& route, Result result) {
-    Past& past = held.message.past;
+    PriorAttempts& past = held.message.past;
     if (MayHaveRun(result) && !past.may_have_run)
       past = {past.attempts, true, call.sent, route.endpoint.zone};
     if (result == Result::kTimeout) ++held.timeouts;
@@ -37,10 +37,10 @@
     const Result result = outcome.result;
     NoteNotSent(route, result);
     if (outcome.load.limit > 0) lane.limit = outcome.load.limit;
-    if (result == Result::kFull || outcome.wait > Micros(0)) Pause(*call.home, lane, outcome.wait);
+    if (result == Result::kRefused || outcome.wait > Micros(0)) Pause(*call.home, lane, outcome.wait);
     if (call.judged || result == Result::kNotSent || result == Result::kCancelled) return;
     call.judged = true;  // one call, one fate
-    if (result == Result::kFull) Cut(lane);
+    if (result == Result::kRefused) Cut(lane);
     JudgeConnection(call, route, outcome, lane.health.bad_run == 0);
     JudgeEndpoint(call, route, lane, outcome);
     if (result == Result::kOk) NoteServed(lane, outcome.latency);
@@ -59,10 +59,10 @@
   void JudgeEndpoint(const Call& call, Route& route, Lane& lane, const Outcome& outcome) {
     const Result result = outcome.result;
     const bool in_use = outcome.load.limit > 0 && outcome.load.left >= 0 && outcome.load.left < kLimitInUse;
-    const bool limit = result == Result::kFull && in_use;
+    const bool limit = result == Result::kRefused && in_use;
     const bool worn = call.idle_for > Micros(0) && result == Result::kReset;
     const bool no_place = result == Result::kNoConnection && outcome.latency < kMoment && Crowded(route);
-    const bool explained = limit || result == Result::kGarbled || worn || no_place;
+    const bool explained = limit || result == Result::kUnreadable || worn || no_place;
     if (no_place) {
       route.rest_until =
           now_ + ToMicros((1 + Draw()) * Seconds(kMoment) * std::exp2(std::min(route.explained, 2)));
@@ -76,7 +76,7 @@
     const bool ok = result == Result::kOk;
     JudgeCall(route, ok, call.sent,
               ok                        ? RecoveryCause::kCallServed
-              : result == Result::kFull ? RecoveryCause::kCallRefused
+              : result == Result::kRefused ? RecoveryCause::kCallRefused
                                         : RecoveryCause::kCallFailed);
   }
 
@@ -93,7 +93,7 @@
 
   void EndCall(std::uint64_t number, const Call& call, Route& route, Result result) {
     --LaneOf(route).out, --route.out;
-    if (result == Result::kOk || result == Result::kFull || result == Result::kError)
+    if (result == Result::kOk || result == Result::kRefused || result == Result::kError)
       route.idle.push_back(now_), freed_.emplace_back(call.home, call.endpoint);
     calls_.erase(number);
   }
--- a/src/brain/recovery.h
+++ b/src/brain/recovery.h
@@ -24,7 +24,7 @@
     health.bad_share += kMemory * ((ok ? 0 : 1) - health.bad_share);
     if (!ok) {
       ++health.bad_run;
-      if (RecoveryOf(health) == Recovery::kWarm) Leave(health, lane);
+      if (RecoveryOf(health) == Recovery::kHealthy) Leave(health, lane);
       if (health.recovery != Recovery::kProbing)
         health.before = RecoveryOf(health), health.trouble_from = health.last_ok;
       health.recovery = Recovery::kProbing, health.last_bad = std::max(health.last_bad, sent);
--- a/src/brain/sending.h
+++ b/src/brain/sending.h
@@ -49,7 +49,7 @@
         ToMicros(std::max(aims * Seconds(held.c->aim), lane.mean + kTimeoutDeviations * lane.deviation));
     // A message that timed out may just be slow: it gets more time, within limits while its lane is in trial.
     const int most = lane.health.recovery == Recovery::kProbing ? 1 : kMostDoublings;
-    return std::min<Micros>(base * (1 << std::min(held.timeouts, most)), held.message.give_up_at - now_);
+    return std::min<Micros>(base * (1 << std::min(held.timeouts, most)), held.message.deadline - now_);
   }
 
   // Rank of an endpoint for a call: routes apart by tokens, then fee; else by zone, connections and load.
--- a/src/brain/slow_start.h
+++ b/src/brain/slow_start.h
@@ -39,14 +39,14 @@
 
   Recovery RecoveryOf(const Health& health) const {
     return health.recovery == Recovery::kSlowStart && now_ - health.served_from >= set_.cold
-               ? Recovery::kWarm
+               ? Recovery::kHealthy
                : health.recovery;
   }
 
   // Share of its capacity that a recovering destination surely has by now.
   double Warmth(const Health& health) const {
     const bool doubt = InDoubt(health);
-    if (RecoveryOf(health) == Recovery::kWarm || (doubt && health.before == Recovery::kWarm)) return 1;
+    if (RecoveryOf(health) == Recovery::kHealthy || (doubt && health.before == Recovery::kHealthy)) return 1;
     if ((health.recovery != Recovery::kSlowStart && !doubt) || set_.cold <= Micros(0)) return set_.cold_from;
     const double passed = Seconds(now_ - health.ramp_from) / Seconds(set_.cold);
     return set_.cold_from + (1 - set_.cold_from) * std::min(1.0, passed);
@@ -71,7 +71,7 @@
   void Earn(Health& health, const Lane& lane, double part, bool waiting) {
     Allowance& allowance = health.allowance;
     const double since = Seconds(now_ - std::exchange(allowance.at, now_));
-    if (RecoveryOf(health) == Recovery::kWarm || since <= 0) return;
+    if (RecoveryOf(health) == Recovery::kHealthy || since <= 0) return;
     const double sure = SureLimit(lane);
     const bool told = lane.limit > 0 || Listed(lane) > 0;
     const double by_demand = told ? kByDemand : kByDemandUntold;
@@ -129,18 +129,18 @@
   }
 
   bool HasAllowance(const Health& health) const {
-    if (RecoveryOf(health) == Recovery::kWarm) return true;
-    const bool doubt = InDoubt(health) && health.before == Recovery::kWarm && !health.sent.empty();
+    if (RecoveryOf(health) == Recovery::kHealthy) return true;
+    const bool doubt = InDoubt(health) && health.before == Recovery::kHealthy && !health.sent.empty();
     return health.allowance.calls >= 1 && (!doubt || now_ - health.sent.back().first >= kMoment);
   }
 
   static void Spend(Health& health, double weight) {
-    if (health.recovery == Recovery::kWarm) return;
+    if (health.recovery == Recovery::kHealthy) return;
     health.allowance.calls -= weight, health.spent += weight;
   }
 
   void Log(Route& route, Lane& lane, double weight) {
-    slow_start_calls_ += lane.health.recovery == Recovery::kWarm ? 0 : weight;
+    slow_start_calls_ += lane.health.recovery == Recovery::kHealthy ? 0 : weight;
     for (Health* health : {&lane.health, &route.health}) {
       Spend(*health, weight);
       health->sent.emplace_back(now_, weight);
--- a/src/brain/state.h
+++ b/src/brain/state.h
@@ -37,7 +37,7 @@
 
 // What is believed of a lane's or an endpoint's life, and what slow start earned and spent there.
 struct Health {
-  Recovery recovery = Recovery::kWarm, before = Recovery::kWarm;  // before: what the probing interrupted
+  Recovery recovery = Recovery::kHealthy, before = Recovery::kHealthy;  // before: what the probing interrupted
   Micros last_ok{Micros::min()}, last_bad{Micros::min()};  // send times of the latest served and other call
   Micros trouble_from{Micros::min()}, served_from{0};      // last_ok when the trouble began; first served
   Micros ramp_from{0};                                     // when it is taken to have come back
--- a/src/node/describe.cpp
+++ b/src/node/describe.cpp
@@ -35,10 +35,10 @@
     case GiveUpCause::kOutOfTime: return "out of time";
     case GiveUpCause::kNoAttemptsLeft: return "no attempts left";
     case GiveUpCause::kMayHaveRun: return "may have run";
-    case GiveUpCause::kKeyLifeOver: return "its key may be forgotten";
-    case GiveUpCause::kToldToWait: return "told to wait past its time";
+    case GiveUpCause::kKeyExpired: return "its key may be forgotten";
+    case GiveUpCause::kRetryAfterTooLong: return "told to wait past its time";
     case GiveUpCause::kNotListed: return "destination not listed";
-    case GiveUpCause::kNoRoom: return "no room";
+    case GiveUpCause::kLoadShed: return "no room";
   }
   return "unknown";
 }
--- a/src/node/node_log.cpp
+++ b/src/node/node_log.cpp
@@ -20,7 +20,7 @@
 
 const char* NameOf(Recovery recovery) {
   switch (recovery) {
-    case Recovery::kWarm: return "warm";
+    case Recovery::kHealthy: return "warm";
     case Recovery::kProbing: return "probing";
     case Recovery::kSlowStart: return "slow_start";
   }
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -103,7 +103,7 @@
   brain_->OnWithdrawn(e.id);
   if (watcher_) watcher_->OnWithdrawn(e.id);
 }
-void Node::Do(state::TellAnswerTold& e) { brain_->OnAnswerTold(e.id); }
+void Node::Do(state::TellAnswerTold& e) { brain_->OnAnswerDelivered(e.id); }
 void Node::Do(state::TellOutcome& e) {
   brain_->OnOutcome(e.outcome);
   if (watcher_) watcher_->OnOutcome(e.outcome);
@@ -118,7 +118,7 @@
   if (watcher_) watcher_->OnListFailed(e.outdated_from);
 }
 void Node::Do(state::TellWait& e) {
-  brain_->OnToldWait(e.endpoint, e.wait);
+  brain_->OnRetryAfter(e.endpoint, e.wait);
   if (watcher_) watcher_->OnToldWait(e.endpoint, e.wait);
 }
 void Node::Do(state::TellStop& e) {
@@ -126,7 +126,7 @@
   if (watcher_) watcher_->OnStop(e.at);
 }
 void Node::Do(state::TellZoneUnsure& e) {
-  brain_->OnZoneUnsure(e.zone);
+  brain_->OnZoneLost(e.zone);
   if (watcher_) watcher_->OnZoneUnsure(e.zone);
 }
 void Node::Do(state::AppendJournal& e) { Write(journal_.Append(e.bytes)); }
--- a/src/node/watch.h
+++ b/src/node/watch.h
@@ -50,9 +50,9 @@
   void OnMessage(const Message& message);
   void OnOutcome(const Outcome& outcome);
   void OnWithdrawn(MessageId id);
-  void OnToldWait(const EndpointId& endpoint, Micros wait) { brain_->OnToldWait(endpoint, wait); }
+  void OnToldWait(const EndpointId& endpoint, Micros wait) { brain_->OnRetryAfter(endpoint, wait); }
   void OnStop(Micros at) { brain_->OnStop(at); }
-  void OnZoneUnsure(int zone) { brain_->OnZoneUnsure(zone); }
+  void OnZoneUnsure(int zone) { brain_->OnZoneLost(zone); }
   void OnSettings(const Settings& in_force) { brain_->OnSettings(watched_.Over(in_force)); }
 
   // What the first one decided in this turn; then both are compared.
--- a/src/state/effects.h
+++ b/src/state/effects.h
@@ -104,7 +104,7 @@
   std::string id;
   std::uint64_t destination = 0;
   RepeatRules rules{};
-  Past past;
+  PriorAttempts past;
   Micros give_up_at{0};
 };
 struct MessageDoubted {  // for the log: it was over as delivered, and is told as failed
--- a/src/state/ending.cpp
+++ b/src/state/ending.cpp
@@ -7,7 +7,7 @@
     case Ending::kDelivered: return {Result::kOk, true};
     case Ending::kError: return {Result::kError, false};
     case Ending::kToldToWait:
-    case Ending::kTurnedAway: return {Result::kFull, false};
+    case Ending::kTurnedAway: return {Result::kRefused, false};
     case Ending::kNoSlot:
     case Ending::kNoAttemptsLeft:
     case Ending::kNotStarted: return {Result::kNotSent, false};
@@ -18,7 +18,7 @@
     case Ending::kTimedOut: return {Result::kTimeout, false};
     case Ending::kGivenUp: return {Result::kCancelled, false};
     case Ending::kOtherStatus: return {Result::kError, false};
-    case Ending::kUnreadable: return {Result::kGarbled, false};
+    case Ending::kUnreadable: return {Result::kUnreadable, false};
     case Ending::kBrokenAfterSent:
     case Ending::kBrokenMidAnswer: return {Result::kReset, false};
   }
@@ -62,7 +62,7 @@
 
 bool MayHaveRun(Result result) {
   switch (result) {
-    case Result::kFull:
+    case Result::kRefused:
     case Result::kNoConnection:
     case Result::kNotSent: return false;
     default: return true;
--- a/src/state/journal_read.cpp
+++ b/src/state/journal_read.cpp
@@ -100,7 +100,7 @@
 void Get(Reader& in, Connecting& r) { GetAttempt(in, r); }
 void Get(Reader& in, Settled& r) {
   r.serial = in.Number();
-  r.result = in.Choice(Result::kGarbled);
+  r.result = in.Choice(Result::kUnreadable);
 }
 void Get(Reader& in, Ended& r) {
   r.serial = in.Number();
--- a/src/state/keeper.h
+++ b/src/state/keeper.h
@@ -126,7 +126,7 @@
   for (const auto& [serial, owed] : state.owed) {
     if (owed.ended && !state.notices.contains(serial)) continue;
     AppendRecord(journal, owed.taken);
-    Past past = owed.past;
+    PriorAttempts past = owed.past;
     if (owed.out && !owed.ended) --past.attempts;  // counted by the record of the attempt that is out
     if (past.attempts > 0 || past.may_have_run) AppendRecord(journal, Resumed{serial, past, owed.run_zone});
     if (owed.out && !owed.ended && owed.connecting) {
--- a/src/state/ledger.h
+++ b/src/state/ledger.h
@@ -54,9 +54,9 @@
     message.message_class = Number(state_.limits.classes, owed.taken.message_class);
     message.tenant = Number(state_.limits.tenants, owed.taken.tenant);
     message.key = owed.taken.order_key;
-    message.give_up_at = owed.taken.give_up_at;
+    message.deadline = owed.taken.give_up_at;
     message.destination = owed.taken.destination;
-    message.place = owed.taken.serial;
+    message.order_position = owed.taken.serial;
     message.past = owed.past;
     message.past.run_zone = Number(state_.limits.zones, owed.run_zone, kUnknownZone);
     message.rules = owed.taken.rules;
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -101,7 +101,7 @@
     outcome.last = meaning.over || owed->ended;
     // An answer in the last moment may have come too late for its client, whose clock began before: the end
     // is told as well, which does no harm where it was in time.
-    outcome.untold =
+    outcome.answer_pending =
         meaning.result == Result::kOk && e.at >= owed->taken.give_up_at - kTimeDoubt && !owed->ended;
     outcome.wait = e.wait;
     outcome.load = e.load;
@@ -109,7 +109,7 @@
     Record_(Settled{e.serial, meaning.result});
     if (meaning.over) {
       if (!owed->ended) SayOver(*owed, meaning.result == Result::kOk ? Over::kDelivered : Over::kWithdrawn);
-      Record_(Ended{e.serial, outcome.untold ? End::kFailed : End::kNothingOwed, Micros(0)});
+      Record_(Ended{e.serial, outcome.answer_pending ? End::kFailed : End::kNothingOwed, Micros(0)});
     }
     keep_.Drop(e.serial);
   }
--- a/src/state/reducer.h
+++ b/src/state/reducer.h
@@ -26,7 +26,7 @@
 
 struct Owed {
   Taken taken;
-  Past past;
+  PriorAttempts past;
   bool out = false;                // a call
   bool connecting = false;         // with it, and nothing of it has left
   int attempts_made = 0;           // in this process
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -41,7 +41,7 @@
   switch (fields.Integer("status")) {
     case 200: return Result::kOk;
     case 500: return Result::kError;
-    case 503: return Result::kFull;
+    case 503: return Result::kRefused;
     case 504: return Result::kTimeout;
     case 502: return Result::kNoConnection;
     case 598: return Result::kReset;
@@ -104,7 +104,7 @@
   message.message_class = Index(fields, "tierClass");
   message.tenant = Index(fields, "clientGroup");
   message.key = fields.Find("subject").value_or("");
-  message.give_up_at = fields.Time("giveUpAt");
+  message.deadline = fields.Time("giveUpAt");
   message.destination = Destination(fields, "toDest");
   return message;
 }
@@ -118,7 +118,7 @@
   outcome.latency = fields.Time("waitTime", Micros(0));
   outcome.last = fields.Flag("last", false);
   const Micros note = fields.Time("note", Micros(0));
-  if (outcome.result == Result::kFull) outcome.wait = note;
+  if (outcome.result == Result::kRefused) outcome.wait = note;
   outcome.load = ReadLoad(fields);
   return outcome;
 }
--- a/tests/brain_bucket_test.cpp
+++ b/tests/brain_bucket_test.cpp
@@ -37,7 +37,7 @@
 }
 
 Reply Ok(double limit = -1) { return {Result::kOk, milliseconds(20), Micros(0), limit}; }
-Reply Full(double limit = -1) { return {Result::kFull, milliseconds(20), Micros(0), limit}; }
+Reply Full(double limit = -1) { return {Result::kRefused, milliseconds(20), Micros(0), limit}; }
 
 TEST(Bucket, OpenUntilTheFirstRefusalWhateverIsTold) {
   Bench bench(Roomy());
@@ -132,7 +132,7 @@
   bench.Feed(kStart, kStart + seconds(4), milliseconds(100), [&](const Sent& sent) {
     if (refused || sent.at < told) return Ok();
     refused = true;
-    return Reply{Result::kFull, milliseconds(20), milliseconds(800)};
+    return Reply{Result::kRefused, milliseconds(20), milliseconds(800)};
   });
   EXPECT_EQ(bench.node.CountSends(told + milliseconds(30), told + milliseconds(820)), 0);
   EXPECT_GE(bench.node.CountSends(told + milliseconds(820), kStart + seconds(4)), 5);
@@ -153,11 +153,11 @@
 TEST(Bucket, LaneIdleForAMinuteIsDropped) {
   Bench bench(Roomy());
   bench.Feed(kStart, kStart + seconds(1), milliseconds(100), [](const Sent&) { return Ok(); });
-  EXPECT_EQ(bench.node.brain().footprint().lanes, 1U);
+  EXPECT_EQ(bench.node.brain().footprint().rate_scopes, 1U);
   bench.node.Turn(kStart + seconds(50));
-  EXPECT_EQ(bench.node.brain().footprint().lanes, 1U);
+  EXPECT_EQ(bench.node.brain().footprint().rate_scopes, 1U);
   bench.node.Turn(kStart + seconds(62));
-  EXPECT_EQ(bench.node.brain().footprint().lanes, 0U);
+  EXPECT_EQ(bench.node.brain().footprint().rate_scopes, 0U);
 }
 
 }  // namespace
--- a/tests/brain_connection_trust_test.cpp
+++ b/tests/brain_connection_trust_test.cpp
@@ -134,7 +134,7 @@
   TestNode node(BaseSettings());
   node.Turn(seconds(1), [&] { node.List({TestNode::At(1, "a"), TestNode::At(2, "b")}); });
   node.Turn(seconds(2), [&] {
-    node.brain().OnToldWait("a", milliseconds(500));
+    node.brain().OnRetryAfter("a", milliseconds(500));
     node.Take(1, 1);
     node.Take(2, 2);
   });
--- a/tests/brain_endings_test.cpp
+++ b/tests/brain_endings_test.cpp
@@ -31,9 +31,9 @@
   ASSERT_TRUE(node.Refused(1));
   node.Turn(kBegin + seconds(2));
   EXPECT_EQ(node.CountSends(MessageId{2}), 0);  // the platform has not taken the notice yet
-  node.Turn(kBegin + seconds(3), [&] { node.brain().OnAnswerTold(1); });
+  node.Turn(kBegin + seconds(3), [&] { node.brain().OnAnswerDelivered(1); });
   EXPECT_EQ(node.CountSends(MessageId{2}), 1);
-  node.Turn(kBegin + seconds(4), [&] { node.brain().OnAnswerTold(1); });  // once more does no harm
+  node.Turn(kBegin + seconds(4), [&] { node.brain().OnAnswerDelivered(1); });  // once more does no harm
   EXPECT_EQ(node.answers[1], 1);
 }
 
@@ -49,11 +49,11 @@
     node.Turn(kBegin + milliseconds(990), [&] {
       Outcome outcome;
       outcome.id = 1, outcome.endpoint = "a", outcome.result = Result::kOk;
-      outcome.last = true, outcome.untold = untold;
+      outcome.last = true, outcome.answer_pending = untold;
       node.brain().OnOutcome(outcome);
     });
     EXPECT_EQ(node.CountSends(MessageId{2}), untold ? 0 : 1);
-    node.Turn(kBegin + seconds(2), [&] { node.brain().OnAnswerTold(1); });
+    node.Turn(kBegin + seconds(2), [&] { node.brain().OnAnswerDelivered(1); });
     EXPECT_EQ(node.CountSends(MessageId{2}), 1);
     EXPECT_EQ(node.answers[1], 0);
   }
@@ -71,7 +71,7 @@
     });
     node.Turn(kBegin + seconds(1) + milliseconds(5));
     ASSERT_TRUE(node.Failed(1));
-    const auto told = [&] { node.brain().OnAnswerTold(1); };
+    const auto told = [&] { node.brain().OnAnswerDelivered(1); };
     const auto settled = [&] { node.Settle(1, Result::kNoConnection); };
     node.Turn(kBegin + seconds(2), [&] { answer_first ? told() : settled(); });
     node.Turn(kBegin + seconds(3));
@@ -96,7 +96,7 @@
   });
   node.Turn(kBegin + seconds(1));
   EXPECT_TRUE(node.sends.empty());
-  node.Turn(kBegin + seconds(2), [&] { node.brain().OnAnswerTold(1); });
+  node.Turn(kBegin + seconds(2), [&] { node.brain().OnAnswerDelivered(1); });
   EXPECT_EQ(node.CountSends(MessageId{1}), 0);
   EXPECT_EQ(node.CountSends(MessageId{2}), 1);
   EXPECT_EQ(node.answers[1], 0);  // it has its end
--- a/tests/brain_events_test.cpp
+++ b/tests/brain_events_test.cpp
@@ -89,16 +89,16 @@
     if (out.empty()) return;
     const MessageId id = out[random_() % out.size()];
     Known& settled = messages_.at(id);
-    const Result results[] = {Result::kOk, Result::kFull, Result::kError, Result::kNoConnection,
+    const Result results[] = {Result::kOk, Result::kRefused, Result::kError, Result::kNoConnection,
                               Result::kNotSent};
     const Result result = results[random_() % 5];
     const Micros wait =
-        result == Result::kFull && random_() % 2 == 0 ? milliseconds(random_() % 4000) : milliseconds(0);
+        result == Result::kRefused && random_() % 2 == 0 ? milliseconds(random_() % 4000) : milliseconds(0);
     node_.Settle(id, Reply{result, milliseconds(0), wait}, result == Result::kOk);
     settled.out = false;
     if (result == Result::kOk) settled.over = true;
     Micros& paused = paused_[settled.destination];
-    if (result == Result::kFull) paused = std::max(paused, now_ + wait);
+    if (result == Result::kRefused) paused = std::max(paused, now_ + wait);
   }
 
   void Check() {
--- a/tests/brain_many_senders_test.cpp
+++ b/tests/brain_many_senders_test.cpp
@@ -61,7 +61,7 @@
       node.Take(1, 7, seconds(120));
     });
     node.Turn(kStart + milliseconds(20), [&] {
-      node.Settle(1, Reply{Result::kFull, milliseconds(20), seconds(6)}, false);
+      node.Settle(1, Reply{Result::kRefused, milliseconds(20), seconds(6)}, false);
     });
     node.Run(kStart + milliseconds(40), kStart + seconds(60), [](const Sent&) { return Reply{}; });
     ASSERT_LE(node.CountSends(MessageId{1}), 2) << seed;
@@ -88,7 +88,7 @@
       node.List({TestNode::At(7, "a")});
       node.Take(1, 7, seconds(20));
     });
-    node.Turn(kStart + milliseconds(50), [&] { node.Settle(1, Result::kFull); });
+    node.Turn(kStart + milliseconds(50), [&] { node.Settle(1, Result::kRefused); });
     ASSERT_TRUE(node.Refused(1));  // in the turn that told it, 20 s before its deadline
     EXPECT_EQ(node.refused[1], heard ? s.max_retry_after : Micros(0));
   }
--- a/tests/brain_odd_test.cpp
+++ b/tests/brain_odd_test.cpp
@@ -154,13 +154,13 @@
   const Footprint used = node.brain().footprint();
   EXPECT_LE(used.messages, 20U);
   EXPECT_LE(used.keys, 45U);      // rested ones go with the walk
-  EXPECT_LE(used.lanes, 70U);     // a minute's worth
+  EXPECT_LE(used.rate_scopes, 70U);     // a minute's worth
   EXPECT_LE(used.endpoints, 7U);  // the listed one, and those gone since the last walk over the list
   node.Turn(now + seconds(70));
   node.Turn(now + seconds(76));
   EXPECT_EQ(node.brain().footprint().messages, 0U);
   EXPECT_EQ(node.brain().footprint().keys, 0U);
-  EXPECT_LE(node.brain().footprint().lanes, 1U);
+  EXPECT_LE(node.brain().footprint().rate_scopes, 1U);
 }
 
 // A node of a large deployment: a thousand endpoints, a call now and then.
@@ -176,7 +176,7 @@
       kStart, kStart + seconds(100), [](const Sent&) { return Reply{}; },
       [&](Micros at) {
         if ((at - kStart) % milliseconds(500) == Micros(0)) ++id, node.Take(id, id % 500);
-        EXPECT_LE(node.brain().footprint().lanes, 2U * 66);  // used within the minute and a walk's time
+        EXPECT_LE(node.brain().footprint().rate_scopes, 2U * 66);  // used within the minute and a walk's time
       });
   EXPECT_EQ(id, 200U);
   EXPECT_EQ(node.sends.size(), 200U);
@@ -189,7 +189,7 @@
   node.Turn(kStart + seconds(165));
   node.Turn(kStart + seconds(230));
   EXPECT_EQ(node.brain().footprint().endpoints, 10U);
-  EXPECT_EQ(node.brain().footprint().lanes, 0U);
+  EXPECT_EQ(node.brain().footprint().rate_scopes, 0U);
 }
 
 // Told to wait, then taken off the list and listed again: the wait still binds.
@@ -200,7 +200,7 @@
     node.Take(1, 7);
   });
   node.Turn(kStart + milliseconds(50), [&] {
-    node.Settle(1, {Result::kFull, milliseconds(50), seconds(8)}, false);
+    node.Settle(1, {Result::kRefused, milliseconds(50), seconds(8)}, false);
   });
   node.Turn(kStart + seconds(1), [&] { node.List({}); });
   node.Turn(kStart + seconds(6));
@@ -218,7 +218,7 @@
     node.Run(
         kStart, kStart + seconds(5),
         [](const Sent& sent) {
-          return Reply{sent.id % 7 == 0 ? Result::kFull : Result::kOk, milliseconds(30 + 10 * (sent.id % 9))};
+          return Reply{sent.id % 7 == 0 ? Result::kRefused : Result::kOk, milliseconds(30 + 10 * (sent.id % 9))};
         },
         [&](Micros now) {
           if ((now - kStart) % milliseconds(70) != Micros(0)) return;
--- a/tests/brain_resumed_test.cpp
+++ b/tests/brain_resumed_test.cpp
@@ -9,12 +9,12 @@
 // ---- Rule 1: one final answer, in time, and nothing sent after
 // ----------------------------------------------
 
-Message Resumed(MessageId id, Past past, const std::string& key = "") {
+Message Resumed(MessageId id, PriorAttempts past, const std::string& key = "") {
   Message message;
   message.id = id;
   message.destination = 1;
   message.key = key;
-  message.give_up_at = seconds(100);
+  message.deadline = seconds(100);
   message.past = past;
   return message;
 }
@@ -99,7 +99,7 @@
   TestNode node(settings);
   const auto taken = [&](MessageId id, const std::string& key) {
     Message message = Resumed(id, {}, key);
-    message.place = id;
+    message.order_position = id;
     node.Give(message);
   };
   node.Turn(seconds(10), [&] {
@@ -158,7 +158,7 @@
   EXPECT_FALSE(node.brain().MayStillStart(9, seconds(1)));
   node.Turn(seconds(1) + milliseconds(10), [&] {
     node.List({TestNode::At(1, "a", 0, 0, EndpointState::kDraining)}, false);
-    node.Settle(4, Reply{Result::kFull, milliseconds(10), milliseconds(500)}, false);
+    node.Settle(4, Reply{Result::kRefused, milliseconds(10), milliseconds(500)}, false);
     node.brain().OnWithdrawn(3);
   });
   EXPECT_FALSE(node.brain().MayStillStart(1, seconds(1) + milliseconds(20)));  // rule 3
--- a/tests/brain_rules_order_test.cpp
+++ b/tests/brain_rules_order_test.cpp
@@ -102,7 +102,7 @@
     node.Take(1, 7);
   });
   const Micros told = kStart + milliseconds(50);
-  node.Turn(told, [&] { node.Settle(1, Reply{Result::kFull, Micros(0), milliseconds(1500)}, false); });
+  node.Turn(told, [&] { node.Settle(1, Reply{Result::kRefused, Micros(0), milliseconds(1500)}, false); });
   node.Run(
       told + milliseconds(10), told + milliseconds(1500), [](const Sent&) { return Reply{}; },
       [&](Micros now) {
@@ -124,7 +124,7 @@
   });
   const EndpointId first = node.sends.at(0).endpoint;
   const Micros told = kStart + milliseconds(50);
-  node.Turn(told, [&] { node.Settle(1, Reply{Result::kFull, Micros(0), seconds(3)}, false); });
+  node.Turn(told, [&] { node.Settle(1, Reply{Result::kRefused, Micros(0), seconds(3)}, false); });
   ASSERT_EQ(node.sends.size(), 2U);  // at once by the other route
   EXPECT_NE(node.sends[1].endpoint, first);
   node.Run(
@@ -144,7 +144,7 @@
     node.Take(1, 7, seconds(5));
   });
   node.Turn(kStart + milliseconds(50), [&] {
-    node.Settle(1, Reply{Result::kFull, Micros(0), seconds(6)}, false);
+    node.Settle(1, Reply{Result::kRefused, Micros(0), seconds(6)}, false);
   });
   EXPECT_TRUE(node.Refused(1));
 }
--- a/tests/brain_rules_overlap_test.cpp
+++ b/tests/brain_rules_overlap_test.cpp
@@ -27,9 +27,9 @@
     ASSERT_EQ(node.sends.size(), 2U);
     const Micros told = kBegin + milliseconds(50);
     const milliseconds first(longer_first ? 3000 : 200), second(longer_first ? 200 : 3000);
-    node.Turn(told, [&] { node.Settle(1, Reply{Result::kFull, Micros(0), first}, false); });
+    node.Turn(told, [&] { node.Settle(1, Reply{Result::kRefused, Micros(0), first}, false); });
     node.Turn(told + milliseconds(10), [&] {
-      node.Settle(2, Reply{Result::kFull, Micros(0), second}, false);
+      node.Settle(2, Reply{Result::kRefused, Micros(0), second}, false);
     });
     node.Run(
         told + milliseconds(20), told + seconds(3), [](const Sent&) { return Reply{}; },
--- a/tests/brain_rules_recovery_test.cpp
+++ b/tests/brain_rules_recovery_test.cpp
@@ -109,11 +109,11 @@
 INSTANTIATE_TEST_SUITE_P(
     EveryOutage, ReturnTest,
     ::testing::Values(ReturnCase{0, {Result::kNoConnection, milliseconds(50)}, false},
-                      ReturnCase{0, {Result::kFull, milliseconds(50)}, false},
+                      ReturnCase{0, {Result::kRefused, milliseconds(50)}, false},
                       ReturnCase{0, {Result::kError, milliseconds(50)}, false},
                       ReturnCase{0, {Result::kReset, milliseconds(50)}, false}, ReturnCase{0, {}, true},
                       ReturnCase{1, {Result::kNoConnection, milliseconds(50)}, false},
-                      ReturnCase{1, {Result::kFull, milliseconds(50), seconds(1)}, false},
+                      ReturnCase{1, {Result::kRefused, milliseconds(50), seconds(1)}, false},
                       ReturnCase{1, {}, true}));
 
 TEST(Return, RoutesApartAreColdEachForItself) {
--- a/tests/brain_rules_test.cpp
+++ b/tests/brain_rules_test.cpp
@@ -144,7 +144,7 @@
 std::vector<EffectCase> EffectCases() {
   std::vector<EffectCase> cases;
   const std::vector<Result> ran = {Result::kError, Result::kTimeout, Result::kReset, Result::kCancelled};
-  const std::vector<Result> never = {Result::kFull, Result::kNoConnection, Result::kNotSent};
+  const std::vector<Result> never = {Result::kRefused, Result::kNoConnection, Result::kNotSent};
   for (Result r : ran) {
     cases.push_back({Effect::kSafe, Group::kCell, r, true, true});
     cases.push_back({Effect::kKeyed, Group::kAll, r, true, true});
--- a/tests/brain_scale_test.cpp
+++ b/tests/brain_scale_test.cpp
@@ -34,7 +34,7 @@
   node.Turn(kStart, [&] { node.List(list); });
 }
 
-Reply Full(double left) { return {Result::kFull, milliseconds(50), Micros(0), 3, left}; }
+Reply Full(double left) { return {Result::kRefused, milliseconds(50), Micros(0), 3, left}; }
 
 // ---- Connections ----
 
--- a/tests/brain_settings_test.cpp
+++ b/tests/brain_settings_test.cpp
@@ -68,7 +68,7 @@
 
 TEST_F(SettingsChange, AToldWaitAndABoundRateOutliveIt) {
   node.Turn(seconds(1), [&] { node.Take(1, 1); });
-  node.Turn(seconds(2), [&] { node.Settle(1, Reply{Result::kFull, milliseconds(0), seconds(5)}, false); });
+  node.Turn(seconds(2), [&] { node.Settle(1, Reply{Result::kRefused, milliseconds(0), seconds(5)}, false); });
   Change(milliseconds(2500), [](Settings& s) { s.senders = 9, s.call_slots = 100, s.max_attempts = 90; });
   node.Run(milliseconds(2510), seconds(7), [](const Sent&) { return Reply{}; });
   EXPECT_EQ(node.CountSends(1), 1);  // rule 6
@@ -196,7 +196,7 @@
       seconds(1), seconds(30),
       [&](const Sent& sent) {
         return std::optional(
-            Reply{sent.id % 5 == 0 ? Result::kFull : Result::kOk, milliseconds(50 + sent.id % 200)});
+            Reply{sent.id % 5 == 0 ? Result::kRefused : Result::kOk, milliseconds(50 + sent.id % 200)});
       },
       [&](Micros now) {
         if (now < seconds(20) && turn % 3 == 0) node.Take(next++, 1, seconds(5));
--- a/tests/brain_trial_test.cpp
+++ b/tests/brain_trial_test.cpp
@@ -11,7 +11,7 @@
 constexpr Micros kStart = seconds(100);
 
 TEST(Doubt, AnIsolatedRefusalOrErrorDoesNotPutAServedDestinationOnTheBudget) {
-  for (Result result : {Result::kFull, Result::kError, Result::kNoConnection}) {
+  for (Result result : {Result::kRefused, Result::kError, Result::kNoConnection}) {
     TestNode node(BaseSettings());
     MessageId id = 0;
     bool done = false;
--- a/tests/brain_trouble_test.cpp
+++ b/tests/brain_trouble_test.cpp
@@ -55,14 +55,14 @@
     }
   };
   serve(kStart, 20, Result::kOk);
-  serve(kStart + seconds(1), 2, Result::kGarbled);
+  serve(kStart + seconds(1), 2, Result::kUnreadable);
   EXPECT_EQ(node.CountSends(22), 1);
   node.Turn(kStart + seconds(1) + milliseconds(100), [&] {
     for (int i = 0; i < 3; ++i) node.Take(++id, 7);
   });
   EXPECT_EQ(node.CountSends(kStart + seconds(1) + milliseconds(100), kStart + seconds(2)), 3);  // no trial
   for (MessageId m = 23; m <= 25; ++m) {
-    node.Turn(kStart + seconds(2), [&] { node.Settle(m, Reply{Result::kGarbled}, true); });
+    node.Turn(kStart + seconds(2), [&] { node.Settle(m, Reply{Result::kUnreadable}, true); });
   }
   node.Turn(kStart + seconds(2) + milliseconds(10), [&] {
     for (int i = 0; i < 3; ++i) node.Take(++id, 7);
@@ -136,7 +136,7 @@
     node.List({TestNode::At(7, "a")});
     node.Take(1, 7);
   });
-  node.Turn(kStart + milliseconds(10), [&] { node.Settle(1, Result::kGarbled); });
+  node.Turn(kStart + milliseconds(10), [&] { node.Settle(1, Result::kUnreadable); });
   EXPECT_TRUE(node.Failed(1));
   EXPECT_EQ(node.CountSends(1), 1);
 }
--- a/tests/brain_zone_test.cpp
+++ b/tests/brain_zone_test.cpp
@@ -46,7 +46,7 @@
   const int here_before = node.CountSends(lost - seconds(2), lost, "here");
   const int there_before = node.CountSends(lost - seconds(2), lost, "there");
   ASSERT_GT(there_before, 60);
-  node.Turn(lost, [&] { node.brain().OnZoneUnsure(1); });
+  node.Turn(lost, [&] { node.brain().OnZoneLost(1); });
   Run(lost + milliseconds(10), lost + seconds(2));
   const int here = node.CountSends(lost, lost + seconds(2), "here");
   const int there = node.CountSends(lost, lost + seconds(2), "there");
@@ -59,7 +59,7 @@
 
 TEST_F(ZoneTest, ALaneSharedWithAnotherZoneGoesOnThere) {
   const Micros lost = kStart + seconds(15);
-  node.Turn(lost, [&] { node.brain().OnZoneUnsure(1); });
+  node.Turn(lost, [&] { node.brain().OnZoneLost(1); });
   Run(lost + milliseconds(10), lost + seconds(2));
   EXPECT_GT(node.CountSends(lost, lost + seconds(2), "both-here"), 40);
 }
@@ -67,7 +67,7 @@
 TEST_F(ZoneTest, AZoneThatNobodyNamesChangesNothing) {
   const Micros lost = kStart + seconds(15);
   const int before = node.CountSends(lost - seconds(2), lost);
-  node.Turn(lost, [&] { node.brain().OnZoneUnsure(7); });
+  node.Turn(lost, [&] { node.brain().OnZoneLost(7); });
   Run(lost + milliseconds(10), lost + seconds(2));
   EXPECT_GT(node.CountSends(lost, lost + seconds(2)), before * 9 / 10);
 }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -40,7 +40,7 @@
   EXPECT_EQ(m.message_class, 2);
   EXPECT_EQ(m.tenant, 1);
   EXPECT_EQ(m.key, "91f03b7c55d20a64");
-  EXPECT_EQ(m.give_up_at, Micros(8652250));
+  EXPECT_EQ(m.deadline, Micros(8652250));
   EXPECT_EQ(m.destination, 57U);
 }
 
@@ -54,7 +54,7 @@
 
 TEST(Decode, EveryOutcome) {
   const std::vector<std::pair<int, Result>> codes = {{200, Result::kOk},           {500, Result::kError},
-                                                     {503, Result::kFull},         {504, Result::kTimeout},
+                                                     {503, Result::kRefused},         {504, Result::kTimeout},
                                                      {502, Result::kNoConnection}, {598, Result::kReset},
                                                      {499, Result::kCancelled},    {410, Result::kNotSent}};
   for (const auto& [code, result] : codes) {
--- a/tests/crowd.h
+++ b/tests/crowd.h
@@ -108,7 +108,7 @@
     settings_.seed += 7919;
     Begin(member);
     std::erase_if(member.open, [&](const auto& entry) {
-      return ended.contains(entry.first) || entry.second.give_up_at <= now_;
+      return ended.contains(entry.first) || entry.second.deadline <= now_;
     });
     member.node->Turn(now_, [&] {
       for (const auto& [id, message] : member.open) member.node->brain().OnMessage(message);
@@ -157,22 +157,22 @@
       if (limit_.how == How::kShutBusy) {
         level_ = std::max(level_ - 1, -Rate() * limit_.debt);
         ++bin.failed;
-        return {Result::kFull, kAnswer, Micros(0), Rate(), std::max(0.0, level_ / Rate() / limit_.depth)};
+        return {Result::kRefused, kAnswer, Micros(0), Rate(), std::max(0.0, level_ / Rate() / limit_.depth)};
       }
       const bool spared = limit_.how == How::kFailing && std::generate_canonical<double, 53>(random_) < 0.1;
       if (!spared) {
         ++bin.failed;
         return Reply{limit_.how == How::kDown   ? Result::kNoConnection
                      : limit_.how == How::kHung ? Result::kTimeout
-                     : limit_.how == How::kShut ? Result::kFull
+                     : limit_.how == How::kShut ? Result::kRefused
                                                 : Result::kError};
       }
     }
     const bool ok = level_ >= 1;
     level_ = std::max(level_ - 1, -Rate() * limit_.debt);
     ok ? ++bin.served : ++bin.refused;
-    if (!limit_.tells_limit) return {ok ? Result::kOk : Result::kFull, kAnswer};
-    return {ok ? Result::kOk : Result::kFull, kAnswer, Micros(0), Rate(),
+    if (!limit_.tells_limit) return {ok ? Result::kOk : Result::kRefused, kAnswer};
+    return {ok ? Result::kOk : Result::kRefused, kAnswer, Micros(0), Rate(),
             std::max(0.0, level_ / Rate() / limit_.depth)};
   }
 
--- a/tests/node_watch_test.cpp
+++ b/tests/node_watch_test.cpp
@@ -44,7 +44,7 @@
     TestNode::Take(id, destination);
     Message message;
     message.id = id;
-    message.give_up_at = now_ + seconds(20);
+    message.deadline = now_ + seconds(20);
     message.destination = destination;
     message.rules = BaseSettings().classes[0];
     w.OnMessage(message);
@@ -81,7 +81,7 @@
       if (random() % 4 == 0) pair.Take(w, ++id, 7 + random() % 2);
       for (std::size_t i = 0; i < pair.sends.size(); ++i) {
         if (pair.sends[i].settled || random() % 5 != 0) continue;
-        const Result results[] = {Result::kOk, Result::kOk, Result::kFull, Result::kError,
+        const Result results[] = {Result::kOk, Result::kOk, Result::kRefused, Result::kError,
                                   Result::kNoConnection};
         const MessageId of = pair.sends[i].id;
         pair.Settle(w, of, results[random() % 5]);
--- a/tests/state_calls_test.cpp
+++ b/tests/state_calls_test.cpp
@@ -104,7 +104,7 @@
     const bool in_doubt = before <= milliseconds(50);
     ASSERT_EQ(play.All<TellOutcome>().size(), 1u);
     EXPECT_TRUE(play.All<TellOutcome>()[0].outcome.last);
-    EXPECT_EQ(play.All<TellOutcome>()[0].outcome.untold, in_doubt);
+    EXPECT_EQ(play.All<TellOutcome>()[0].outcome.answer_pending, in_doubt);
     ASSERT_EQ(play.All<PostNotices>().size(), in_doubt ? 1u : 0u);
     if (!in_doubt) {
       EXPECT_TRUE(play.state.owed.empty());
--- a/tests/state_damage_test.cpp
+++ b/tests/state_damage_test.cpp
@@ -105,7 +105,7 @@
     bad[at] = static_cast<char>(bad[at] ^ 0x20);
     const ReadJournal read = ParseJournal(bad);
     EXPECT_NE(read.trouble, "") << at;
-    const Past past = Resumed_(read).past;
+    const PriorAttempts past = Resumed_(read).past;
     EXPECT_TRUE(past.may_have_run) << at << ' ' << read.trouble;
     EXPECT_EQ(past.first_run, read.records.size() > 2 ? seconds(5) : seconds(0)) << at;
   }
--- a/tests/state_journal_test.cpp
+++ b/tests/state_journal_test.cpp
@@ -16,13 +16,13 @@
   const std::vector<std::tuple<Ending, Result, bool>> wanted = {
       {Ending::kDelivered, Result::kOk, true},
       {Ending::kError, Result::kError, false},
-      {Ending::kToldToWait, Result::kFull, false},
-      {Ending::kTurnedAway, Result::kFull, false},
+      {Ending::kToldToWait, Result::kRefused, false},
+      {Ending::kTurnedAway, Result::kRefused, false},
       {Ending::kNoSlot, Result::kNotSent, false},
       {Ending::kNoAttemptsLeft, Result::kNotSent, false},
       {Ending::kOver, Result::kNotSent, true},
       {Ending::kOtherStatus, Result::kError, false},
-      {Ending::kUnreadable, Result::kGarbled, false},
+      {Ending::kUnreadable, Result::kUnreadable, false},
       {Ending::kRefused, Result::kNoConnection, false},
       {Ending::kNeverUp, Result::kNoConnection, false},
       {Ending::kBrokenBeforeSent, Result::kNoConnection, false},
@@ -55,10 +55,10 @@
 }
 
 TEST(Ending, UnsureMayHaveRun) {
-  for (Result proven : {Result::kFull, Result::kNoConnection, Result::kNotSent})
+  for (Result proven : {Result::kRefused, Result::kNoConnection, Result::kNotSent})
     EXPECT_FALSE(MayHaveRun(proven));
   for (Result unsure : {Result::kOk, Result::kError, Result::kTimeout, Result::kReset, Result::kCancelled,
-                        Result::kGarbled}) {
+                        Result::kUnreadable}) {
     EXPECT_TRUE(MayHaveRun(unsure));
   }
 }
--- a/tests/state_resumption_test.cpp
+++ b/tests/state_resumption_test.cpp
@@ -27,7 +27,7 @@
   play.Turn();
 
   Play next = play.Restart();
-  std::map<Serial, Past> past;
+  std::map<Serial, PriorAttempts> past;
   std::vector<Serial> told_as_ended;  // its key waits for the notice
   for (const TellMessage& e : next.All<TellMessage>()) {
     if (e.message.ended) {
