--- a/src/brain/brain.cpp
+++ b/src/brain/brain.cpp
@@ -21,20 +21,20 @@
     outdated_from_ = Micros::max();
     for (auto& [id, destination] : destinations_) {
       for (EndpointRecord& record : destination.endpoints)
-        if (whole) record.endpoint.state = EndpointState::kGone, destination.listed = now_;
+        if (whole) record.endpoint.state = EndpointState::kGone, destination.last_listed = now_;
     }
     if (!entries.empty() && !std::exchange(list_received_, true)) CheckAll();
     for (const Endpoint& entry : entries) {
       Destination& destination = destinations_[entry.destination];
-      if (destination.listed = now_; !destination.waiting.empty()) changed_destinations_.insert(&destination);
+      if (destination.last_listed = now_; !destination.waiting.empty()) changed_destinations_.insert(&destination);
       EndpointRecord* record = Find(destination, entry.id);
       if (record == nullptr) record = &destination.endpoints.emplace_back();
       record->endpoint = entry;
       const auto kind = static_cast<std::size_t>(entry.kind);
       if (kind < set_.kinds.size()) record->kind = set_.kinds[kind];
       record->destination = &destination;
-      if (destination.unsure) AssumeCold(*record);
-      (record->kind.separate_routes ? record->own : destination.shared).listed = entry.weight;
+      if (destination.maybe_cold) AssumeCold(*record);
+      (record->kind.separate_routes ? record->own : destination.shared).listed_limit = entry.weight;
     }
   }
 
@@ -69,14 +69,14 @@
 
   void OnOutcome(const Outcome& outcome) override {
     auto it = held_.find(outcome.id);
-    if (it == held_.end() || !it->second.out) return;
+    if (it == held_.end() || !it->second.in_flight) return;
     HeldMessage& held = it->second;
-    Call& call = calls_.at(held.call);
+    Call& call = calls_.at(held.call_number);
     EndpointRecord& record = *Find(*call.destination, call.endpoint);  // kept while a call is out
-    held.out = false, held.answer_pending |= outcome.answer_pending;
+    held.in_flight = false, held.answer_pending |= outcome.answer_pending;
     NoteAttempt(held, call, record, outcome.result);
     NoteEndpoint(call, record, outcome);
-    if (--call.waiting == 0) EndCall(held.call, call, record, outcome.result);
+    if (--call.pending_outcomes == 0) EndCall(held.call_number, call, record, outcome.result);
     if (!held.ended) UpdateQueues(held);
     outcome.last && !held.ended ? End(held) : ReleaseIfFinished(held);
   }
@@ -116,8 +116,8 @@
   // A call whose connection took its time: what holds by now (rules 1, 2, 3 and 6) binds it still.
   bool MayStillStart(MessageId id, Micros now) override {
     const auto it = held_.find(id);
-    if (it == held_.end() || it->second.ended || !it->second.out) return false;
-    const Call& call = calls_.at(it->second.call);
+    if (it == held_.end() || it->second.ended || !it->second.in_flight) return false;
+    const Call& call = calls_.at(it->second.call_number);
     EndpointRecord& record = *Find(*call.destination, call.endpoint);  // kept while a call is out
     const Micros end = std::min({it->second.message.deadline, outdated_from_, RepeatUntil(it->second)});
     return now < end && record.endpoint.state == EndpointState::kReady && now >= ScopeOf(record).pause_until;
@@ -160,9 +160,9 @@
     Footprint sizes{held_.size(), keys_.size(), 0, 0, calls_.size()};
     for (const auto& [id, destination] : destinations_) {
       sizes.endpoints += destination.endpoints.size();
-      sizes.rate_scopes += destination.shared.used > Micros::min();
+      sizes.rate_scopes += destination.shared.last_used > Micros::min();
       for (const EndpointRecord& record : destination.endpoints)
-        sizes.rate_scopes += record.own.used > Micros::min();
+        sizes.rate_scopes += record.own.last_used > Micros::min();
     }
     return sizes;
   }
@@ -181,27 +181,27 @@
         const bool gone = record.endpoint.state == EndpointState::kGone;
         Forget(record.own, !gone);
         if (!record.idle.empty() && ConnectionTableFull(record)) Close(record);
-        return gone && record.out == 0 && record.own.used == Micros::min();
+        return gone && record.in_flight == 0 && record.own.last_used == Micros::min();
       });
       Forget(destination.shared, !destination.endpoints.empty());
     }
     std::erase_if(destinations_, [this](const auto& entry) {
       const Destination& destination = entry.second;
       const bool unused =
-          destination.endpoints.empty() && destination.held == 0 && destination.shared.used == Micros::min();
-      return unused && destination.listed < now_ - kForgetAfter;
+          destination.endpoints.empty() && destination.held == 0 && destination.shared.last_used == Micros::min();
+      return unused && destination.last_listed < now_ - kForgetAfter;
     });
   }
 
   void Forget(RateScope& scope, bool listed) const {
-    if (scope.used == Micros::min() || scope.out > 0 || now_ - scope.used <= kForgetAfter) return;
+    if (scope.last_used == Micros::min() || scope.in_flight > 0 || now_ - scope.last_used <= kForgetAfter) return;
     if (now_ >= scope.pause_until && (!listed || RecoveryOf(scope.health) == Recovery::kHealthy))
-      scope = RateScope(scope.listed);
+      scope = RateScope(scope.listed_limit);
   }
 
   void ArmTimer() {
     Micros next = waiting_destinations_.empty() ? watch_due_ : std::min(watch_due_, now_ + kRecheck);
-    if (!out_due_.empty()) next = std::min(next, out_due_.begin()->first);
+    if (!in_flight_due_.empty()) next = std::min(next, in_flight_due_.begin()->first);
     if (next < timer_) host_->SetTimer(timer_ = std::max(next, now_));
   }
 };
--- a/src/brain/eligibility.h
+++ b/src/brain/eligibility.h
@@ -10,13 +10,13 @@
   bool MayRefuse(const HeldMessage& held) const {
     const bool drops_repeats =
         held.message.rules.effect == Effect::kKeyed && held.message.rules.group == Group::kAll;
-    return !held.out &&
+    return !held.in_flight &&
            (!held.message.past.may_have_run || held.message.rules.effect == Effect::kSafe || drops_repeats);
   }
 
   // Rules 1 and 2: whether another attempt may be made at all.
   bool MayAttempt(const HeldMessage& held) const {
-    if (held.ended || held.out || now_ >= held.message.deadline) return false;
+    if (held.ended || held.in_flight || now_ >= held.message.deadline) return false;
     if (set_.max_attempts > 0 && held.message.past.attempts >= set_.max_attempts) return false;
     if (!held.message.past.may_have_run || held.message.rules.effect == Effect::kSafe) return true;
     return held.message.rules.effect == Effect::kKeyed && held.message.rules.group != Group::kCell &&
--- a/src/brain/final_answers.h
+++ b/src/brain/final_answers.h
@@ -16,16 +16,16 @@
   void UpdateQueues(HeldMessage& held) {
     const MessageId id = held.message.id;
     const std::pair by_time(held.message.deadline, id), newest(held.message.deadline, ~id);
-    waiting_due_.erase({held.due, id}), out_due_.erase({held.due, id});
+    waiting_due_.erase({held.due, id}), in_flight_due_.erase({held.due, id});
     held.destination->waiting.erase(by_time);
     if (held.destination->waiting.empty()) waiting_destinations_.erase(held.message.destination);
     if (std::exchange(held.refusable, false))
       EvictionQueueOf(held).by_deadline.erase(newest), EvictionQueueOf(held).by_id.erase(id);
     if (held.ended) return;
-    held.due = held.out ? held.message.deadline + set_.tick
+    held.due = held.in_flight ? held.message.deadline + set_.tick
                         : std::min(held.message.deadline - 2 * set_.tick, RepeatUntil(held));
-    (held.out ? out_due_ : waiting_due_).emplace(held.due, id);
-    if (held.out) return;
+    (held.in_flight ? in_flight_due_ : waiting_due_).emplace(held.due, id);
+    if (held.in_flight) return;
     held.destination->waiting.emplace(by_time, &held);
     waiting_destinations_.emplace(held.message.destination, held.destination);
     to_check_.insert(id);
@@ -40,7 +40,7 @@
     held.ordered = true;
     auto& order = keys_[message.key].order;
     const auto older = [&](auto at, auto id) {
-      return !held_.at(id).out && at < held_.at(id).message.order_position;
+      return !held_.at(id).in_flight && at < held_.at(id).message.order_position;
     };
     order.insert(std::upper_bound(order.begin(), order.end(), message.order_position, older), message.id);
     if (message.past.may_have_run) keys_[message.key].blocked_until = now_ + set_.turn_gap;  // may run on
@@ -48,7 +48,7 @@
 
   // A key's turn passes on when its message is over, which its answer has told, and has no attempt out.
   void ReleaseIfFinished(const HeldMessage& held) {
-    if (!held.ended || held.out || (held.answer_pending && held.ordered)) return;
+    if (!held.ended || held.in_flight || (held.answer_pending && held.ordered)) return;
     if (held.ordered) std::erase(keys_[held.message.key].order, held.message.id);  // dropped once rested
     finished_.push_back(held.message.id);
   }
@@ -91,7 +91,7 @@
            it != destination->waiting.end() && it->first.first <= all_wait; ++it)
         to_check_.insert(it->first.second);
     }
-    for (const auto* due : {&waiting_due_, &out_due_})
+    for (const auto* due : {&waiting_due_, &in_flight_due_})
       for (auto it = due->begin(); it != due->end() && it->first <= now_; ++it) to_check_.insert(it->second);
     for (const MessageId id : std::exchange(to_check_, {})) {
       const auto it = held_.find(id);
@@ -99,8 +99,8 @@
       HeldMessage& held = it->second;
       const bool overdue = now_ >= held.message.deadline + set_.tick;
       const bool unlisted =
-          list_received_ && held.destination->listed == Micros::min();  // to what was never on the list
-      if (unlisted || (held.out ? overdue : !MayAttempt(held) || !CanStillArrive(held)))
+          list_received_ && held.destination->last_listed == Micros::min();  // to what was never on the list
+      if (unlisted || (held.in_flight ? overdue : !MayAttempt(held) || !CanStillArrive(held)))
         GiveFinalAnswer(held, unlisted ? GiveUpCause::kNotListed : GiveUpCauseOf(held));
     }
   }
--- a/src/brain/outcomes.h
+++ b/src/brain/outcomes.h
@@ -36,7 +36,7 @@
     RateScope& scope = ScopeOf(record);
     const Result result = outcome.result;
     NoteNotSent(record, result);
-    if (outcome.load.limit > 0) scope.limit = outcome.load.limit;
+    if (outcome.load.limit > 0) scope.reported_limit = outcome.load.limit;
     if (result == Result::kRefused || outcome.wait > Micros(0)) Pause(*call.destination, scope, outcome.wait);
     if (call.judged || result == Result::kNotSent || result == Result::kCancelled) return;
     call.judged = true;  // one call, one fate
@@ -68,10 +68,10 @@
     const bool explained = limit || result == Result::kUnreadable || idle_closed || table_full;
     if (table_full) {
       record.blocked_until = now_ + ToMicros((1 + RandomShare()) * Seconds(kRetryGap) *
-                                             std::exp2(std::min(record.explained, 2)));
+                                             std::exp2(std::min(record.explained_failures, 2)));
     }
-    record.explained = explained ? record.explained + 1 : 0;
-    const bool in_a_run = record.explained > (limit || table_full ? 1 : kMaxExplainedRun);
+    record.explained_failures = explained ? record.explained_failures + 1 : 0;
+    const bool in_a_run = record.explained_failures > (limit || table_full ? 1 : kMaxExplainedRun);
     if (explained && !in_a_run && scope.health.recovery != Recovery::kProbing) {
       record.health.failure_share +=
           kFailureShareWeight * (1 - record.health.failure_share);  // others are tried first
@@ -87,16 +87,16 @@
   void NoteServed(RateScope& scope, Micros taken) {
     ++scope.answered;
     const double latency = Seconds(taken);
-    if (scope.mean <= 0) scope.mean = latency, scope.deviation = latency / 2;
-    scope.deviation += kLatencyWeight * (std::abs(latency - scope.mean) - scope.deviation);
-    scope.mean += kLatencyWeight * (latency - scope.mean);
+    if (scope.mean_latency <= 0) scope.mean_latency = latency, scope.latency_deviation = latency / 2;
+    scope.latency_deviation += kLatencyWeight * (std::abs(latency - scope.mean_latency) - scope.latency_deviation);
+    scope.mean_latency += kLatencyWeight * (latency - scope.mean_latency);
     scope.served_long.Add(now_);
     scope.peak = std::max(scope.peak, scope.served.Add(now_));
     Increase(scope);
   }
 
   void EndCall(std::uint64_t number, const Call& call, EndpointRecord& record, Result result) {
-    --ScopeOf(record).out, --record.out;
+    --ScopeOf(record).in_flight, --record.in_flight;
     if (result == Result::kOk || result == Result::kRefused || result == Result::kError)
       record.idle.push_back(now_), freed_endpoints_.emplace_back(call.destination, call.endpoint);
     calls_.erase(number);
--- a/src/brain/recovery.h
+++ b/src/brain/recovery.h
@@ -16,7 +16,7 @@
     const double asked = scope.demand_long.Events(now_), served = scope.served_long.Events(now_);
     health.served_share = std::min(1.0, (served + 1) / (asked + 1));
     health.allowance = {RandomShare() + std::min(1.0, kRetriesAtOnce / set_.senders), now_};
-    health.spent = 0;
+    health.calls_spent = 0;
   }
 
   // Any failure may be an outage. A served call tells: a blip or a limit, or cold and on its return.
@@ -58,7 +58,7 @@
   }
 
   void AssumeAllCold(Destination& destination) {
-    destination.unsure = true;
+    destination.maybe_cold = true;
     for (EndpointRecord& record : destination.endpoints) AssumeCold(record);
   }
 
--- a/src/brain/scheduler.h
+++ b/src/brain/scheduler.h
@@ -20,7 +20,7 @@
 
   bool WorthKeepingIdle(const EndpointRecord& record) const {
     const double keep = kKeepIdlePerPrice * set_.price_handshake;  // 0: no reason to give one back
-    return keep <= 0 || std::max(record.used.Now(now_), kSharedTableRate / set_.senders) * keep >= 1;
+    return keep <= 0 || std::max(record.call_rate.Now(now_), kSharedTableRate / set_.senders) * keep >= 1;
   }
 
   // Against tables that idle connections of all senders fill: those of that kind are given back after use.
@@ -53,7 +53,7 @@
                         : scope.answered < kKnownLatencyCalls ? kFirstTimeoutAims
                                                               : 1;
     const Micros base = ToMicros(std::max(aims * Seconds(held.class_settings->aim),
-                                          scope.mean + kTimeoutDeviations * scope.deviation));
+                                          scope.mean_latency + kTimeoutDeviations * scope.latency_deviation));
     // A message that timed out may just be slow: it gets more time, within limits while its scope is in
     // trial.
     const int most = scope.health.recovery == Recovery::kProbing ? 1 : kMostDoublings;
@@ -65,7 +65,7 @@
     const auto zone = static_cast<std::size_t>(record.endpoint.zone);
     const double fee = zone < set_.zone_fee.size() ? set_.zone_fee[zone] : 0;
     std::erase_if(record.idle, [&](Micros since) { return now_ - since >= set_.idle_close; });
-    double load = record.out;
+    double load = record.in_flight;
     if (record.idle.empty()) load += 1;  // a new connection takes time, and one of a few places
     if (record.endpoint.zone != set_.own_zone && set_.price_cross_zone > 0) load += 1;
     load += 4 * record.health.failure_share;
@@ -80,19 +80,19 @@
 
   // Before a stop: only what should end by then. What the stop cuts off may have run.
   bool EndsInTime(const HeldMessage& held, const RateScope& scope) const {
-    const bool sure = scope.mean > 0 && held.message.rules.effect != Effect::kUnsafe;
+    const bool sure = scope.mean_latency > 0 && held.message.rules.effect != Effect::kUnsafe;
     return stop_at_ - now_ >=
-           (sure ? ToMicros(scope.mean + 2 * scope.deviation) : Timeout(held, scope, false));
+           (sure ? ToMicros(scope.mean_latency + 2 * scope.latency_deviation) : Timeout(held, scope, false));
   }
 
   bool HasCallSlot(const EndpointRecord& record, const RateScope& scope) const {
     const bool trial = scope.health.recovery == Recovery::kProbing;
-    const int half = set_.call_slots > 0 ? std::max(2, (set_.call_slots + 1) / 2) : scope.out + 1;
-    if (scope.out >= (!trial ? half : MaybeBlip(scope.health) ? 2 : 1))
+    const int half = set_.call_slots > 0 ? std::max(2, (set_.call_slots + 1) / 2) : scope.in_flight + 1;
+    if (scope.in_flight >= (!trial ? half : MaybeBlip(scope.health) ? 2 : 1))
       return false;  // no scope takes all slots
-    if (set_.call_slots > 0 && scope.out > 0 && static_cast<int>(calls_.size()) * 4 >= set_.call_slots * 3)
+    if (set_.call_slots > 0 && scope.in_flight > 0 && static_cast<int>(calls_.size()) * 4 >= set_.call_slots * 3)
       return false;  // the last quarter is for lanes that hold none: those that hold some may be hung
-    return now_ >= record.blocked_until && (record.health.recovery != Recovery::kProbing || record.out == 0);
+    return now_ >= record.blocked_until && (record.health.recovery != Recovery::kProbing || record.in_flight == 0);
   }
 
   bool CanTakeCall(const HeldMessage& held, const EndpointRecord& record, RateScope& scope) {
@@ -100,8 +100,8 @@
     if (!MaySend(held, record, scope) || !EndsInTime(held, scope) || !HasCallSlot(record, scope))
       return false;
     if (Tokens(scope) >= 1) return true;
-    if (!std::exchange(scope.bucket.waited, true))  // intervals count while calls wait
-      scope.bucket.stepped = std::max(scope.bucket.stepped, now_ - kIncreaseInterval);
+    if (!std::exchange(scope.bucket.starved, true))  // intervals count while calls wait
+      scope.bucket.stepped_at = std::max(scope.bucket.stepped_at, now_ - kIncreaseInterval);
     return false;
   }
 
@@ -129,17 +129,17 @@
     if (!joins) {
       call = &calls_[record.last_call = ++last_call_];
       *call = {record.destination, record.endpoint.id, now_};
-      if (scope.bucket.bound) scope.bucket.tokens -= 1;
-      ++scope.out, ++record.out, record.used.Add(now_);
+      if (scope.bucket.active) scope.bucket.tokens -= 1;
+      ++scope.in_flight, ++record.in_flight, record.call_rate.Add(now_);
       if (now_ < avoid_idle_until_ && !record.idle.empty() && now_ - record.idle.back() >= stale_after_ / 2)
         Close(record);
       if (!record.idle.empty())
         call->idle_for = std::max(Micros(1), now_ - record.idle.back()), record.idle.pop_back();
     }
-    held.call = record.last_call;
-    ++call->waiting, ++call->messages;
+    held.call_number = record.last_call;
+    ++call->pending_outcomes, ++call->messages;
     CountCall(record, scope, joins ? kExtraItemWeight : 1);
-    held.out = true, ++held.message.past.attempts;
+    held.in_flight = true, ++held.message.past.attempts;
     UpdateQueues(held);
     host_->Send(held.message.id, record.endpoint.id, Timeout(held, scope, call->idle_for > Micros(0)));
   }
@@ -150,7 +150,7 @@
                        [&](EndpointRecord& record) {
                          RateScope& scope = ScopeOf(record);
                          if (!MayCall(record, scope) || !HasCallSlot(record, scope)) return true;
-                         return scope.bucket.waited && Tokens(scope) < 1;
+                         return scope.bucket.starved && Tokens(scope) < 1;
                        });
   }
 
--- a/src/brain/slow_start.h
+++ b/src/brain/slow_start.h
@@ -26,8 +26,8 @@
 struct SlowStart : TokenBuckets {
   // Calls a second that the destination takes at the least, from all senders.
   double AssuredLimit(const RateScope& scope) const {
-    if (scope.limit > 0) return scope.limit;
-    if (Listed(scope) > 0) return scope.listed * (set_.weights == Weights::kRough ? kRoughSafe : 1);
+    if (scope.reported_limit > 0) return scope.reported_limit;
+    if (Listed(scope) > 0) return scope.listed_limit * (set_.weights == Weights::kRough ? kRoughSafe : 1);
     return kLeastRate;
   }
 
@@ -73,9 +73,9 @@
     const double since = Seconds(now_ - std::exchange(allowance.at, now_));
     if (RecoveryOf(health) == Recovery::kHealthy || since <= 0) return;
     const double sure = AssuredLimit(scope);
-    const bool told = scope.limit > 0 || Listed(scope) > 0;
+    const bool told = scope.reported_limit > 0 || Listed(scope) > 0;
     const double by_demand = told ? kByDemand : kByDemandUnknownLimit;
-    const double demanded = by_demand * health.served_share * scope.demand.faded(now_, since);
+    const double demanded = by_demand * health.served_share * scope.demand.Faded(now_, since);
     const double even = waiting ? (1 - by_demand) * sure / set_.senders * since : 0;
     const double multiple = set_.overload_factor * Warmth(health);
     const double budget = told ? multiple * sure * Seconds(set_.fall) : kSmallBudget;
@@ -108,7 +108,7 @@
     if (health.recovery == before) return;
     const bool whole = &health == &scope.health && !record.kind.separate_routes;
     host_->OnRecovery({record.endpoint.destination, whole ? EndpointId() : record.endpoint.id, before,
-                       health.recovery, cause, health.allowance.calls, health.spent, AssuredLimit(scope),
+                       health.recovery, cause, health.allowance.calls, health.calls_spent, AssuredLimit(scope),
                        health.served_share});
   }
 
@@ -132,23 +132,23 @@
 
   bool HasAllowance(const Health& health) const {
     if (RecoveryOf(health) == Recovery::kHealthy) return true;
-    const bool doubt = MaybeBlip(health) && health.before == Recovery::kHealthy && !health.sent.empty();
-    return health.allowance.calls >= 1 && (!doubt || now_ - health.sent.back().first >= kRetryGap);
+    const bool doubt = MaybeBlip(health) && health.before == Recovery::kHealthy && !health.recent_calls.empty();
+    return health.allowance.calls >= 1 && (!doubt || now_ - health.recent_calls.back().first >= kRetryGap);
   }
 
   static void Spend(Health& health, double weight) {
     if (health.recovery == Recovery::kHealthy) return;
-    health.allowance.calls -= weight, health.spent += weight;
+    health.allowance.calls -= weight, health.calls_spent += weight;
   }
 
   void CountCall(EndpointRecord& record, RateScope& scope, double weight) {
     slow_start_calls_ += scope.health.recovery == Recovery::kHealthy ? 0 : weight;
     for (Health* health : {&scope.health, &record.health}) {
       Spend(*health, weight);
-      health->sent.emplace_back(now_, weight);
-      std::erase_if(health->sent, [&](const auto& call) { return now_ - call.first > kBurst; });
+      health->recent_calls.emplace_back(now_, weight);
+      std::erase_if(health->recent_calls, [&](const auto& call) { return now_ - call.first > kBurst; });
     }
-    scope.used = now_;
+    scope.last_used = now_;
   }
 };
 
