--- a/src/brain/brain.cpp
+++ b/src/brain/brain.cpp
@@ -1,32 +1,43 @@
-// Events of a turn: what the module hears, and when it acts. Its interface is src/brain.h.
+// The events of a turn, and the actions at its end. The interface is src/brain.h.
 #include "brain/outcomes.h"
 
 namespace indigosaddle::brain {
 
-constexpr Micros kForgetAfter = seconds(60), kSweepEvery = seconds(5);  // idle: dropped; between such walks
-constexpr Micros kRecheck = milliseconds(20);  // while messages wait, look again this often
+constexpr Micros kForgetAfter = seconds(60);   // unused state is removed after so long
+constexpr Micros kSweepEvery = seconds(5);     // between removals of unused state
+constexpr Micros kRecheck = milliseconds(20);  // between turns while messages wait
 
+// Implements Brain on top of the layers.
 class DecisionEngine final : public Brain, private OutcomeHandler {
  public:
   DecisionEngine(Settings settings, Host& host) {
-    set_ = std::move(settings), host_ = &host;
-    set_.senders = std::max(1, set_.senders), random_.seed(set_.seed);
+    set_ = std::move(settings);
+    host_ = &host;
+    set_.senders = std::max(1, set_.senders);
+    random_.seed(set_.seed);
     watch_due_ = set_.discovery == Discovery::kOnRequest ? Micros::min() : Micros::max();
     ResetUnknownClass();
   }
 
-  void OnTurnStart(Micros now) override { now_ = now, timer_ = timer_ <= now ? Micros::max() : timer_; }
+  void OnTurnStart(Micros now) override {
+    now_ = now;
+    timer_ = timer_ <= now ? Micros::max() : timer_;
+  }
 
   void OnList(const std::vector<Endpoint>& entries, bool whole) override {
     outdated_from_ = Micros::max();
     for (auto& [id, destination] : destinations_) {
       for (EndpointRecord& record : destination.endpoints)
-        if (whole) record.endpoint.state = EndpointState::kGone, destination.last_listed = now_;
+        if (whole) {
+          record.endpoint.state = EndpointState::kGone;
+          destination.last_listed = now_;
+        }
     }
     if (!entries.empty() && !std::exchange(list_received_, true)) CheckAll();
     for (const Endpoint& entry : entries) {
       Destination& destination = destinations_[entry.destination];
-      if (destination.last_listed = now_; !destination.waiting.empty()) changed_destinations_.insert(&destination);
+      destination.last_listed = now_;
+      if (!destination.waiting.empty()) changed_destinations_.insert(&destination);
       EndpointRecord* record = Find(destination, entry.id);
       if (record == nullptr) record = &destination.endpoints.emplace_back();
       record->endpoint = entry;
@@ -40,7 +51,8 @@
 
   void OnListOutdated(Micros from) override { outdated_from_ = from; }
 
-  // The watch may or may not stand: ask anew, well before an old list counts as told (rule 3).
+  // The subscription may or may not exist: asks again, well before the time (must_ask_in) after which a
+  // changed list counts as known (rule 3).
   void OnListFailed() override {
     const Micros due = now_ + std::max<Micros>(set_.must_ask_in / 4, kRetryGap);
     if (set_.discovery == Discovery::kOnRequest) watch_due_ = std::min(watch_due_, due);
@@ -50,18 +62,22 @@
     auto [it, is_new] = held_.try_emplace(message.id);
     if (!is_new) return;
     HeldMessage& held = it->second;
-    held.message = message, held.class_settings = ClassOf(message);
+    held.message = message;
+    held.class_settings = ClassOf(message);
     ++(held.destination = &destinations_[message.destination])->held;
     EarnAll(*held.destination);
-    for (EndpointRecord& record : held.destination->endpoints) {  // apart: to each an even part of it
+    for (EndpointRecord& record : held.destination->endpoints) {  // each gets an even part
       if (record.kind.separate_routes)
         CountDemand(record.own, 1.0 / static_cast<double>(held.destination->endpoints.size()));
     }
     CountDemand(held.destination->shared, 1);
     held.over_share = CountTenant(message.tenant);
-    ++open_messages_, UpdateQueues(held), EnterKeyOrder(held);
+    ++open_messages_;
+    UpdateQueues(held);
+    EnterKeyOrder(held);
     if (message.ended) {
-      held.answer_pending = true, End(held);
+      held.answer_pending = true;
+      End(held);
     } else if (message.past.attempts > 0) {
       AssumeAllCold(*held.destination);
     }
@@ -72,8 +88,9 @@
     if (it == held_.end() || !it->second.in_flight) return;
     HeldMessage& held = it->second;
     Call& call = calls_.at(held.call_number);
-    EndpointRecord& record = *Find(*call.destination, call.endpoint);  // kept while a call is out
-    held.in_flight = false, held.answer_pending |= outcome.answer_pending;
+    EndpointRecord& record = *Find(*call.destination, call.endpoint);  // kept while a call is in flight
+    held.in_flight = false;
+    held.answer_pending |= outcome.answer_pending;
     NoteAttempt(held, call, record, outcome.result);
     NoteEndpoint(call, record, outcome);
     if (--call.pending_outcomes == 0) EndCall(held.call_number, call, record, outcome.result);
@@ -107,18 +124,22 @@
   }
 
   void OnSettings(Settings settings) override {
-    set_ = std::move(settings), set_.senders = std::max(1, set_.senders);
+    set_ = std::move(settings);
+    set_.senders = std::max(1, set_.senders);
     ResetUnknownClass();
-    for (auto& [id, held] : held_) held.class_settings = ClassOf(held.message), EnterKeyOrder(held);
+    for (auto& [id, held] : held_) {
+      held.class_settings = ClassOf(held.message);
+      EnterKeyOrder(held);
+    }
     CheckAll();
   }
 
-  // A call whose connection took its time: what holds by now (rules 1, 2, 3 and 6) binds it still.
+  // A connection may take time: rules 1, 2, 3 and 6 are checked again as they apply now.
   bool MayStillStart(MessageId id, Micros now) override {
     const auto it = held_.find(id);
     if (it == held_.end() || it->second.ended || !it->second.in_flight) return false;
     const Call& call = calls_.at(it->second.call_number);
-    EndpointRecord& record = *Find(*call.destination, call.endpoint);  // kept while a call is out
+    EndpointRecord& record = *Find(*call.destination, call.endpoint);  // kept while a call is in flight
     const Micros end = std::min({it->second.message.deadline, outdated_from_, RepeatUntil(it->second)});
     return now < end && record.endpoint.state == EndpointState::kReady && now >= ScopeOf(record).pause_until;
   }
@@ -129,9 +150,15 @@
   }
 
   void OnTurnEnd() override {
-    if (watch_due_ <= now_) watch_due_ = Micros::max(), host_->Watch();
+    if (watch_due_ <= now_) {
+      watch_due_ = Micros::max();
+      host_->Watch();
+    }
     turn_from_call_ = last_call_;
-    for (MessageId id : std::exchange(finished_, {})) --held_.at(id).destination->held, held_.erase(id);
+    for (MessageId id : std::exchange(finished_, {})) {
+      --held_.at(id).destination->held;
+      held_.erase(id);
+    }
     AnswerUndeliverable();
     ShedLoad();
     SendWaiting();
@@ -168,10 +195,13 @@
   }
 
  private:
+  // Counts messages that came for the scope.
   void CountDemand(RateScope& scope, double messages) {
-    scope.demand.Add(now_, messages), scope.demand_long.Add(now_, messages);
+    scope.demand.Add(now_, messages);
+    scope.demand_long.Add(now_, messages);
   }
 
+  // Removes state that is no longer used, and closes idle connections where connection tables are full.
   void ForgetIdle() {
     sweep_due_ = now_ + kSweepEvery;
     std::erase_if(keys_, [&](auto& k) { return k.second.order.empty() && k.second.blocked_until <= now_; });
@@ -187,18 +217,22 @@
     }
     std::erase_if(destinations_, [this](const auto& entry) {
       const Destination& destination = entry.second;
-      const bool unused =
-          destination.endpoints.empty() && destination.held == 0 && destination.shared.last_used == Micros::min();
+      const bool unused = destination.endpoints.empty() && destination.held == 0 &&
+                          destination.shared.last_used == Micros::min();
       return unused && destination.last_listed < now_ - kForgetAfter;
     });
   }
 
+  // Resets a scope unused for kForgetAfter, unless a Retry-After or the recovery of a listed one must be
+  // kept.
   void Forget(RateScope& scope, bool listed) const {
-    if (scope.last_used == Micros::min() || scope.in_flight > 0 || now_ - scope.last_used <= kForgetAfter) return;
+    if (scope.last_used == Micros::min() || scope.in_flight > 0 || now_ - scope.last_used <= kForgetAfter)
+      return;
     if (now_ >= scope.pause_until && (!listed || RecoveryOf(scope.health) == Recovery::kHealthy))
       scope = RateScope(scope.listed_limit);
   }
 
+  // Asks the host for the next turn that is needed.
   void ArmTimer() {
     Micros next = waiting_destinations_.empty() ? watch_due_ : std::min(watch_due_, now_ + kRecheck);
     if (!in_flight_due_.empty()) next = std::min(next, in_flight_due_.begin()->first);
--- a/src/brain/eligibility.h
+++ b/src/brain/eligibility.h
@@ -1,12 +1,18 @@
-// The guard: rules 1 and 2 for answers, 1 to 6 for sends (docs/rules.md).
+// What the rules allow (docs/rules.md): rules 1 and 2 for final answers, rules 1 to 6 for calls.
+//
+// 1: one final answer per message, in time. 2: no double effect, one live attempt. 3: nothing new to a
+// draining or gone endpoint. 4: no overload of a recovering endpoint, unsure means cold. 5: messages with one
+// order key in turn. 6: Retry-After is heeded.
 #pragma once
 
 #include "brain/priority.h"
 
 namespace indigosaddle::brain {
 
+// Checks each answer and each call against the rules.
 struct Eligibility : Priority {
-  // Rule 2: a refusal promises that handing in again is harmless.
+  // Whether the message may be returned to its client. That promises that handing it in again is harmless
+  // (rule 2).
   bool MayRefuse(const HeldMessage& held) const {
     const bool drops_repeats =
         held.message.rules.effect == Effect::kKeyed && held.message.rules.group == Group::kAll;
@@ -14,7 +20,7 @@
            (!held.message.past.may_have_run || held.message.rules.effect == Effect::kSafe || drops_repeats);
   }
 
-  // Rules 1 and 2: whether another attempt may be made at all.
+  // Whether another attempt may be made at all (rules 1 and 2).
   bool MayAttempt(const HeldMessage& held) const {
     if (held.ended || held.in_flight || now_ >= held.message.deadline) return false;
     if (set_.max_attempts > 0 && held.message.past.attempts >= set_.max_attempts) return false;
@@ -23,7 +29,7 @@
            now_ <= RepeatUntil(held);
   }
 
-  // Why MayAttempt says no, or the message can't arrive in time.
+  // Why MayAttempt returns false, or why the message can't be delivered in time.
   GiveUpCause GiveUpCauseOf(const HeldMessage& held) const {
     if (now_ >= held.message.deadline - 2 * set_.tick) return GiveUpCause::kOutOfTime;
     if (set_.max_attempts > 0 && held.message.past.attempts >= set_.max_attempts)
@@ -32,7 +38,8 @@
     return now_ > RepeatUntil(held) ? GiveUpCause::kKeyExpired : GiveUpCause::kMayHaveRun;
   }
 
-  // Rule 5: the earliest message of its key that is unfinished, and no rest on the key.
+  // Whether its order key lets it go (rule 5): it is the earliest unfinished message of its key, and the key
+  // is not blocked.
   bool HasTurn(const HeldMessage& held) const {
     if (!NeedsTurn(held)) return true;
     const KeyOrder& key = keys_.at(held.message.key);  // kept while a message of the key is held
@@ -40,18 +47,20 @@
            (held.message.past.attempts > 0 || now_ >= key.blocked_until);
   }
 
-  // Rules 3, 4 and 6 for a call to this endpoint.
+  // Whether the endpoint may get a call (rules 3, 4 and 6). `joins`: as a further message in a call already
+  // opened in this turn.
   bool MayCall(const EndpointRecord& record, const RateScope& scope, bool joins = false) const {
     if (record.endpoint.state != EndpointState::kReady || now_ >= outdated_from_) return false;  // rule 3
     if (now_ < scope.pause_until) return false;                                                  // rule 6
-    // What joins rides on a call that passed here in this turn, its weight counted; a trial carries one.
+    // The call itself passed these checks in this turn, and its weight was counted. A probe request carries
+    // one message only.
     if (joins)
       return scope.health.recovery != Recovery::kProbing && record.health.recovery != Recovery::kProbing;
     if (!HasAllowance(scope.health)) return false;
     return !HasOwnBudget(record) || HasAllowance(record.health);
   }
 
-  // Every send passes here.
+  // Whether this message may be sent to this endpoint now. Every send is checked here.
   bool MaySend(const HeldMessage& held, const EndpointRecord& record, const RateScope& scope,
                bool joins = false) const {
     if (!MayAttempt(held) || !HasTurn(held)) return false;
--- a/src/brain/outcomes.h
+++ b/src/brain/outcomes.h
@@ -1,23 +1,27 @@
-// Outcomes of calls: what they tell of the message, its connection, its endpoint and the endpoint's scope.
+// Outcomes of calls: what they show about the message, its connection, its endpoint and the endpoint's scope.
 #pragma once
 
 #include "brain/scheduler.h"
 
 namespace indigosaddle::brain {
 
-constexpr double kLatencyWeight = 0.15, kLimitInUse = 0.8;  // weight of the newest; share left, less: in use
-constexpr int kMaxExplainedRun = 3, kNotSentRun = 3;  // in a row: need no outage, of most kinds; not begun
+constexpr double kLatencyWeight = 0.15;  // weight of the newest call in the latency figures
+constexpr double kLimitInUse = 0.8;      // share of the limit left: with less, it is in use
+constexpr int kMaxExplainedRun = 3;      // explained failures in a row, of most kinds, that are no outage
+constexpr int kNotSentRun = 3;  // calls in a row that this node did not begin: it is short of something
 
+// Applies outcomes of calls.
 struct OutcomeHandler : Scheduler {
-  // Nobody answered: the receiver may be at it still.
+  // No answer came: the receiver may still be working on it.
   static bool MayStillRun(Result result) {
     return result == Result::kTimeout || result == Result::kReset || result == Result::kCancelled;
   }
+
   static bool MayHaveRun(Result result) {
     return MayStillRun(result) || result == Result::kUnreadable || result == Result::kError;
   }
 
-  // Rules 2 and 5: what the message may still do.
+  // Notes what the message may no longer do after this attempt (rules 2 and 5).
   void NoteAttempt(HeldMessage& held, const Call& call, const EndpointRecord& record, Result result) {
     PriorAttempts& past = held.message.past;
     if (MayHaveRun(result) && !past.may_have_run)
@@ -26,12 +30,14 @@
     if (held.ordered && MayStillRun(result)) keys_[held.message.key].blocked_until = now_ + set_.turn_gap;
   }
 
-  // Rule 6: a told wait, whatever else its answer says or is believed to say.
+  // Applies a Retry-After (rule 6), whatever else its answer says or is believed to say.
   void Pause(Destination& destination, RateScope& scope, Micros wait) {
     scope.pause_until = std::max(scope.pause_until, now_ + wait);
     changed_destinations_.insert(&destination);
   }
 
+  // Applies an outcome to its connection, endpoint and scope. Of a call with several messages only the first
+  // outcome counts, but for its load report and Retry-After.
   void NoteEndpoint(Call& call, EndpointRecord& record, const Outcome& outcome) {
     RateScope& scope = ScopeOf(record);
     const Result result = outcome.result;
@@ -39,15 +45,15 @@
     if (outcome.load.limit > 0) scope.reported_limit = outcome.load.limit;
     if (result == Result::kRefused || outcome.wait > Micros(0)) Pause(*call.destination, scope, outcome.wait);
     if (call.judged || result == Result::kNotSent || result == Result::kCancelled) return;
-    call.judged = true;  // one call, one fate
+    call.judged = true;  // all messages of a call have one result
     if (result == Result::kRefused) Decrease(scope);
     NoteConnection(call, record, outcome, scope.health.consecutive_failures == 0);
     UpdateEndpointHealth(call, record, scope, outcome);
     if (result == Result::kOk) NoteServed(scope, outcome.latency);
   }
 
-  // Once is a slot that was just taken; in a run this node is short of something, and attempts are to outlast
-  // it.
+  // Counts calls that this node did not begin. A single one only met a slot that had just been taken. After
+  // several in a row the node is short of something, and attempts pause so that they last until that is over.
   void NoteNotSent(EndpointRecord& record, Result result) {
     record.not_sent = result == Result::kNotSent ? record.not_sent + 1 : 0;
     if (record.not_sent >= kNotSentRun)
@@ -55,8 +61,9 @@
           std::max(record.blocked_until, now_ + ToMicros((1 + RandomShare()) * Seconds(kRetryGap)));
   }
 
-  // A call needs no outage, unless in a run: a told limit in use, no place, a spoilt answer, a idle_closed
-  // connection.
+  // Applies a result to the health of endpoint and scope. Some failures can be explained without an outage,
+  // unless many come in a row: a reported limit in use, a full connection table, an unreadable answer, an
+  // idle connection that was closed by the other side.
   void UpdateEndpointHealth(const Call& call, EndpointRecord& record, RateScope& scope,
                             const Outcome& outcome) {
     const Result result = outcome.result;
@@ -74,7 +81,7 @@
     const bool in_a_run = record.explained_failures > (limit || table_full ? 1 : kMaxExplainedRun);
     if (explained && !in_a_run && scope.health.recovery != Recovery::kProbing) {
       record.health.failure_share +=
-          kFailureShareWeight * (1 - record.health.failure_share);  // others are tried first
+          kFailureShareWeight * (1 - record.health.failure_share);  // ranks it behind others
       return;
     }
     const bool ok = result == Result::kOk;
@@ -84,21 +91,30 @@
                                                   : RecoveryCause::kCallFailed);
   }
 
+  // Adds a served call to the latency and rate figures.
   void NoteServed(RateScope& scope, Micros taken) {
     ++scope.answered;
     const double latency = Seconds(taken);
-    if (scope.mean_latency <= 0) scope.mean_latency = latency, scope.latency_deviation = latency / 2;
-    scope.latency_deviation += kLatencyWeight * (std::abs(latency - scope.mean_latency) - scope.latency_deviation);
+    if (scope.mean_latency <= 0) {
+      scope.mean_latency = latency;
+      scope.latency_deviation = latency / 2;
+    }
+    scope.latency_deviation +=
+        kLatencyWeight * (std::abs(latency - scope.mean_latency) - scope.latency_deviation);
     scope.mean_latency += kLatencyWeight * (latency - scope.mean_latency);
     scope.served_long.Add(now_);
     scope.peak = std::max(scope.peak, scope.served.Add(now_));
     Increase(scope);
   }
 
+  // Removes a call whose outcomes are all known. Its connection may be idle now.
   void EndCall(std::uint64_t number, const Call& call, EndpointRecord& record, Result result) {
-    --ScopeOf(record).in_flight, --record.in_flight;
-    if (result == Result::kOk || result == Result::kRefused || result == Result::kError)
-      record.idle.push_back(now_), freed_endpoints_.emplace_back(call.destination, call.endpoint);
+    --ScopeOf(record).in_flight;
+    --record.in_flight;
+    if (result == Result::kOk || result == Result::kRefused || result == Result::kError) {
+      record.idle.push_back(now_);
+      freed_endpoints_.emplace_back(call.destination, call.endpoint);
+    }
     calls_.erase(number);
   }
 };
--- a/src/brain/priority.h
+++ b/src/brain/priority.h
@@ -1,18 +1,22 @@
-// Worth: what a message is worth when, what waiting costs, and whether its tenant is past its share.
+// What a message is worth at a time, its priority, and whether its tenant is over its share.
 #pragma once
 
 #include "brain/recovery.h"
 
 namespace indigosaddle::brain {
 
-constexpr double kOverShareFactor = 1.25;  // of its share: a tenant is past it
-constexpr double kKeyLifeUsed = 0.95;      // part of a key's life in which a repeat may still be sent
-// The least that is left of it then: this process may be held up for 0.15 s between its clock and its write.
+constexpr double kOverShareFactor = 1.25;  // a tenant is over its share above this multiple of it
+constexpr double kKeyLifeUsed = 0.95;      // part of RepeatRules::key_ttl in which a repeat may still be sent
+// Least part of key_ttl left at a repeat: the process may be delayed for 0.15 s between reading its clock and
+// writing the call.
 constexpr Micros kLeastKeyLifeLeft = milliseconds(200);
-constexpr int kFreeRepeats = 3;  // attempts that do not lessen the claim of what risks no more
+constexpr int kFreeRepeats =
+    3;  // attempts that don't lower the priority of a message whose repeat risks nothing new
 
+// Ranks messages.
 struct Priority : RecoveryRules {
-  // Whether the tenant is past its share here: an even part of its quota, or this sender's part of all.
+  // Counts a message of the tenant. Returns whether the tenant is over its share at this sender: an even part
+  // of its quota, or more if this sender has a larger part of all traffic.
   bool CountTenant(int tenant) {
     const auto index = static_cast<std::size_t>(tenant);
     if (index >= set_.tenants.size() || set_.tenants[index].quota_per_second <= 0) return false;
@@ -24,8 +28,8 @@
     return use.Add(now_) > kOverShareFactor * share + 1 / Seconds(kAcceptedSpan);
   }
 
-  // When the key of a message that may have run is no longer sure to be remembered: past already where its
-  // first run is still to come, for then nobody knows when that was.
+  // Instant from which receivers may no longer remember the key of a message that may have run. Max: no
+  // limit. In the past if the first run lies in the future: then its true time is not known.
   Micros RepeatUntil(const HeldMessage& held) const {
     if (!held.message.past.may_have_run || held.message.rules.effect != Effect::kKeyed) return Micros::max();
     if (held.message.past.first_run > now_) return Micros::min() / 2;
@@ -34,12 +38,13 @@
            std::min(ToMicros(Seconds(life) * kKeyLifeUsed), life - kLeastKeyLifeLeft);
   }
 
-  // Worth of an answer that comes `ahead` from now.
+  // Worth of a delivery `ahead` from now.
   double Worth(const HeldMessage& held, Micros ahead) const {
     const Micros left = held.message.deadline - now_ - ahead;
     if (left <= Micros(0) || now_ + ahead > RepeatUntil(held)) return 0;
     const double full = held.class_settings->worth * (held.over_share ? set_.over_share_worth : 1);
-    const Micros fade = held.class_settings->deadline - held.class_settings->aim, late = fade - left;
+    const Micros fade = held.class_settings->deadline - held.class_settings->aim;
+    const Micros late = fade - left;
     if (late <= Micros(0) || held.class_settings->aim <= Micros(0) || fade <= Micros(0)) return full;
     const double even = 1 - (1 - held.class_settings->late_value) * Seconds(late) / Seconds(fade);
     const double by_half = std::max(held.class_settings->late_value,
@@ -47,7 +52,8 @@
     return full * (set_.decay == Decay::kByHalf ? by_half : even);
   }
 
-  // What waiting costs: the claim to slots and tokens, halved by each attempt past the free ones.
+  // Priority for call slots and tokens: the worth lost by waiting for one aim, halved for each attempt beyond
+  // the free ones.
   double PriorityOf(const HeldMessage& held) const {
     const double loss = Worth(held, Micros(0)) - Worth(held, held.class_settings->aim);
     const bool risked = held.message.past.may_have_run || held.message.rules.effect == Effect::kSafe;
--- a/src/brain/slow_start.h
+++ b/src/brain/slow_start.h
@@ -1,49 +1,54 @@
-// Health of rate-limited scopes and endpoints, and the slow start of a recovering destination (rule 4).
+// Health of rate scopes and endpoints, and the slow start of a recovering destination (rule 4: no overload of
+// a recovering endpoint, unsure means cold).
 //
-// A destination that may come back cold bears a budget from all senders together, and no sender knows what
-// the others send. So each earns an allowance whose sum over the fleet is the budget by construction,
-// whatever the fleet's size: a part for each message that comes for the destination (what comes at all
-// senders sums to the demand, times the share that was served, to what it can take), and an even part while
-// messages wait. Both are linear in what a sender sees: chance in one sender's figure is made up for by the
-// others. No call passes beside it; what is not used is kept up to one call.
+// A destination that may come back cold has a budget for all senders together, and no sender knows what the
+// others send. So each sender earns an allowance. The allowances of all senders sum to the budget, whatever
+// their number. An allowance has two parts: one for each message that comes for the destination (the messages
+// at all senders sum to the demand; times the share that was served, to what the destination can take), and
+// an even part while messages wait. Both are linear in what a sender sees, so that chance in the figures of
+// single senders evens out. No call to a recovering destination is made outside the allowance. Unused
+// allowance is kept, up to one call.
 #pragma once
 
 #include "brain/token_bucket.h"
 
 namespace indigosaddle::brain {
 
-constexpr double kProbesPerFall = 2;           // of all senders in a fall span, where that is more
-constexpr double kByDemand = 0.2;              // part of the budget that is shared by demand; the rest evenly
-constexpr double kByDemandUnknownLimit = 0.9;  // the same where the limit is not told: little is sure
-constexpr double kDeviations = 4;         // of the sum of independent senders that stay within the budget
-constexpr double kSteadyVariance = 0.25;  // of a count that varies by one
-constexpr double kSmallBudget = 30;       // calls in a fall span: rules allow more for chance below it
-constexpr Micros kSavedPaceSpan = milliseconds(100);  // of a pace above one call in it: so much may be saved
-constexpr Micros kLeastOutage = seconds(4);           // a shorter gap in service leaves nothing cold
-constexpr double kOutageShare = 0.5;                  // of recent calls that fail: no blip
-constexpr double kRoughSafe = 1 / 1.5;  // part of a rough listed limit that is there at the least
-
+// Probe requests of all senders together in Settings::fall, where the budget gives fewer.
+constexpr double kProbesPerFall = 2;
+constexpr double kByDemand = 0.2;  // part of the budget that is shared by demand; the rest is shared evenly
+constexpr double kByDemandUnknownLimit = 0.9;  // the same where no limit is told and little is certain
+constexpr double kDeviations = 4;         // standard deviations of the senders' sum kept within the budget
+constexpr double kSteadyVariance = 0.25;  // variance of a count that varies by one
+constexpr double kSmallBudget = 30;       // calls in Settings::fall; below it rule 4 allows more for chance
+constexpr Micros kSavedPaceSpan = milliseconds(100);  // of a pace above one call in it, so much may be saved
+constexpr Micros kLeastOutage = seconds(4);           // after a shorter gap in service nothing is cold
+constexpr double kOutageShare = 0.5;                  // of recent calls that fail: more than a blip
+constexpr double kRoughSafe = 1 / 1.5;                // part of a rough listed limit that surely exists
+
+// Decides how many calls a destination that is not healthy gets.
 struct SlowStart : TokenBuckets {
-  // Calls a second that the destination takes at the least, from all senders.
+  // Calls a second from all senders that the destination surely takes when healthy.
   double AssuredLimit(const RateScope& scope) const {
     if (scope.reported_limit > 0) return scope.reported_limit;
     if (Listed(scope) > 0) return scope.listed_limit * (set_.weights == Weights::kRough ? kRoughSafe : 1);
     return kLeastRate;
   }
 
-  // In trouble for so short a time that no outage can have come and gone: nothing is cold yet.
+  // Whether calls have failed for so short a time that no outage can have come and gone: nothing is cold yet.
   bool MaybeBlip(const Health& health) const {
     return health.recovery == Recovery::kProbing && health.failing_since > Micros::min() &&
            now_ - health.failing_since < kLeastOutage && health.failure_share < kOutageShare;
   }
 
+  // Its state now: slow start ends by time alone.
   Recovery RecoveryOf(const Health& health) const {
     return health.recovery == Recovery::kSlowStart && now_ - health.serving_since >= set_.cold
                ? Recovery::kHealthy
                : health.recovery;
   }
 
-  // Share of its capacity that a recovering destination surely has by now.
+  // Share of its full capacity that it surely has now.
   double Warmth(const Health& health) const {
     const bool doubt = MaybeBlip(health);
     if (RecoveryOf(health) == Recovery::kHealthy || (doubt && health.before == Recovery::kHealthy)) return 1;
@@ -52,22 +57,25 @@
     return set_.cold_from + (1 - set_.cold_from) * std::min(1.0, passed);
   }
 
-  // Calls that the rule lets pass in a fall span, with what it puts down to chance.
+  // Calls that rule 4 allows in Settings::fall: the budget, and a margin for chance.
   static double Allowed(double budget) {
     const double chance = budget < kSmallBudget ? 3 : 2;
     return budget + chance * std::sqrt(budget) + chance;
   }
 
-  // Part of the budget that all senders may earn together: its sum's chance stays within what is allowed. A
-  // sender that earns a call or more a span makes them evenly, so that its count varies by one at the most.
+  // Part of the budget that all senders may earn together, so that their sum stays within Allowed despite
+  // chance. A sender that earns a call or more in Settings::fall makes them evenly, so its count varies by
+  // one at most.
   double BudgetShare(double budget) const {
-    const double allowed = Allowed(budget), steady = set_.senders * kSteadyVariance;
+    const double allowed = Allowed(budget);
+    const double steady = set_.senders * kSteadyVariance;
     const double root = std::sqrt(allowed + kDeviations * kDeviations / 4) - kDeviations / 2;
     const double mean = root * root <= steady ? root * root : allowed - kDeviations * std::sqrt(steady);
     return std::min(1.0, mean / budget);
   }
 
-  // Adds what was earned since the last look. `part`: of the lane's that this endpoint may have.
+  // Adds what was earned since the last call of this function. `part`: share of the scope's budget that this
+  // health may have. `waiting`: messages wait for the destination.
   void Earn(Health& health, const RateScope& scope, double part, bool waiting) {
     Allowance& allowance = health.allowance;
     const double since = Seconds(now_ - std::exchange(allowance.at, now_));
@@ -86,12 +94,12 @@
     allowance.calls = std::max(allowance.calls, std::min(most, allowance.calls + earned));
   }
 
-  // Where several endpoints share a limit, each has a budget of its own beside that of all.
+  // Whether the endpoint has a budget beside that of its scope: so where several endpoints share a limit.
   static bool HasOwnBudget(const EndpointRecord& record) {
     return !record.kind.separate_routes && record.destination->endpoints.size() > 1;
   }
 
-  // The cold time that a slow start may take is over.
+  // Ends the slow starts whose time (Settings::cold) is over.
   void EndColdTime(EndpointRecord& record) {
     RateScope& scope = record.kind.separate_routes ? record.own : record.destination->shared;
     for (Health* health : {&scope.health, &record.health}) {
@@ -102,17 +110,18 @@
     }
   }
 
-  // Word of a change, for logs.
+  // Reports a change of `health`, if there is one, for logs.
   void ReportChange(const EndpointRecord& record, const RateScope& scope, const Health& health,
                     Recovery before, RecoveryCause cause) {
     if (health.recovery == before) return;
     const bool whole = &health == &scope.health && !record.kind.separate_routes;
     host_->OnRecovery({record.endpoint.destination, whole ? EndpointId() : record.endpoint.id, before,
-                       health.recovery, cause, health.allowance.calls, health.calls_spent, AssuredLimit(scope),
-                       health.served_share});
+                       health.recovery, cause, health.allowance.calls, health.calls_spent,
+                       AssuredLimit(scope), health.served_share});
   }
 
-  // Before a message comes and before calls are chosen.
+  // Adds what the destination's scopes and endpoints earned. To be called before a message is added and
+  // before calls are chosen.
   void EarnAll(Destination& destination) {
     const bool waiting = !destination.waiting.empty();
     for (EndpointRecord& record : destination.endpoints) EndColdTime(record);
@@ -123,24 +132,30 @@
       if (record.kind.separate_routes) {
         Earn(record.own.health, record.own, 1, waiting);
       } else {
-        Earn(record.health, destination.shared, part, waiting), shared = true;
+        Earn(record.health, destination.shared, part, waiting);
+        shared = true;
       }
     }
     if (shared || destination.endpoints.empty())
       Earn(destination.shared.health, destination.shared, 1, waiting);
   }
 
+  // Whether a call may be made now. A possible blip gets a probe request each kRetryGap.
   bool HasAllowance(const Health& health) const {
     if (RecoveryOf(health) == Recovery::kHealthy) return true;
-    const bool doubt = MaybeBlip(health) && health.before == Recovery::kHealthy && !health.recent_calls.empty();
+    const bool doubt =
+        MaybeBlip(health) && health.before == Recovery::kHealthy && !health.recent_calls.empty();
     return health.allowance.calls >= 1 && (!doubt || now_ - health.recent_calls.back().first >= kRetryGap);
   }
 
+  // Takes a call of this weight from the allowance.
   static void Spend(Health& health, double weight) {
     if (health.recovery == Recovery::kHealthy) return;
-    health.allowance.calls -= weight, health.calls_spent += weight;
+    health.allowance.calls -= weight;
+    health.calls_spent += weight;
   }
 
+  // Counts a call, or a further message in one, against its scope and endpoint.
   void CountCall(EndpointRecord& record, RateScope& scope, double weight) {
     slow_start_calls_ += scope.health.recovery == Recovery::kHealthy ? 0 : weight;
     for (Health* health : {&scope.health, &record.health}) {
--- a/src/brain/token_bucket.h
+++ b/src/brain/token_bucket.h
@@ -6,7 +6,8 @@
 
 namespace indigosaddle::brain {
 
-constexpr double kDecreaseFactor = 0.7;  // share of the rate kept at a refusal: the default of the AIMD source
+constexpr double kDecreaseFactor =
+    0.7;  // share of the rate kept at a refusal: the default of the AIMD source
 // Minimum and step of the rate, as shares of the believed limit, before the division among senders.
 constexpr double kMinShare = 0.5;
 constexpr double kStepShare = 0.1;
