--- a/src/state/journal.h
+++ b/src/state/journal.h
@@ -45,7 +45,7 @@
 };
 struct Resumed {  // all attempts so far, in a rewritten journal
   Serial serial = 0;
-  PriorAttempts past;             // but for the zone's number
+  PriorAttempts past;    // but for the zone's number
   std::string run_zone;  // its name
 };
 // An attempt that waits for its connection: it counts, and nothing of it has left. The same attempt's
--- a/tests/brain_odd_test.cpp
+++ b/tests/brain_odd_test.cpp
@@ -153,9 +153,9 @@
   }
   const Footprint used = node.brain().footprint();
   EXPECT_LE(used.messages, 20U);
-  EXPECT_LE(used.keys, 45U);      // rested ones go with the walk
-  EXPECT_LE(used.rate_scopes, 70U);     // a minute's worth
-  EXPECT_LE(used.endpoints, 7U);  // the listed one, and those gone since the last walk over the list
+  EXPECT_LE(used.keys, 45U);         // rested ones go with the walk
+  EXPECT_LE(used.rate_scopes, 70U);  // a minute's worth
+  EXPECT_LE(used.endpoints, 7U);     // the listed one, and those gone since the last walk over the list
   node.Turn(now + seconds(70));
   node.Turn(now + seconds(76));
   EXPECT_EQ(node.brain().footprint().messages, 0U);
@@ -218,7 +218,8 @@
     node.Run(
         kStart, kStart + seconds(5),
         [](const Sent& sent) {
-          return Reply{sent.id % 7 == 0 ? Result::kRefused : Result::kOk, milliseconds(30 + 10 * (sent.id % 9))};
+          return Reply{sent.id % 7 == 0 ? Result::kRefused : Result::kOk,
+                       milliseconds(30 + 10 * (sent.id % 9))};
         },
         [&](Micros now) {
           if ((now - kStart) % milliseconds(70) != Micros(0)) return;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -54,7 +54,7 @@
 
 TEST(Decode, EveryOutcome) {
   const std::vector<std::pair<int, Result>> codes = {{200, Result::kOk},           {500, Result::kError},
-                                                     {503, Result::kRefused},         {504, Result::kTimeout},
+                                                     {503, Result::kRefused},      {504, Result::kTimeout},
                                                      {502, Result::kNoConnection}, {598, Result::kReset},
                                                      {499, Result::kCancelled},    {410, Result::kNotSent}};
   for (const auto& [code, result] : codes) {
