--- a/src/brain/final_answers.h
+++ b/src/brain/final_answers.h
@@ -20,8 +20,7 @@
     const MessageId id = held.message.id;
     const std::pair by_deadline(held.message.deadline, id);
     const std::pair newest_first(held.message.deadline, ~id);
-    waiting_due_.erase({held.due, id});
-    in_flight_due_.erase({held.due, id});
+    waiting_due_.erase({held.due, id}), in_flight_due_.erase({held.due, id});
     held.destination->waiting.erase(by_deadline);
     if (held.destination->waiting.empty()) waiting_destinations_.erase(held.message.destination);
     if (std::exchange(held.refusable, false)) {
@@ -37,8 +36,8 @@
     waiting_destinations_.emplace(held.message.destination, held.destination);
     to_check_.insert(id);
     if (!(held.refusable = MayRefuse(held))) return;
-    EvictionQueueOf(held).by_deadline.emplace(newest_first, &held);
-    EvictionQueueOf(held).by_id.emplace(id, &held);
+    EvictionQueueOf(held).by_deadline.emplace(newest_first, &held),
+        EvictionQueueOf(held).by_id.emplace(id, &held);
   }
 
   // Adds the message to its key's order, if it counts there. A resumed message goes by its order_position,
