--- a/src/brain/connection_trust.cpp
+++ b/src/brain/connection_trust.cpp
@@ -5,39 +5,41 @@
 namespace indigosaddle {
 namespace {
 
-Distrust JudgeCarrying(const ConnectionFacts& facts) {
-  if (facts.moved) return Distrust::kMoved;
+DenialReason CheckSendCall(const ConnectionFacts& facts) {
+  if (facts.address_changed) return DenialReason::kAddressChanged;
   switch (facts.state) {
-    case ConnectionState::kFresh: return facts.unread ? Distrust::kUnread : Distrust::kNone;
-    case ConnectionState::kSettling: return Distrust::kSettling;
+    case ConnectionState::kFresh:
+      return facts.unread_input ? DenialReason::kUnreadInput : DenialReason::kNone;
+    case ConnectionState::kSettling: return DenialReason::kSettling;
     case ConnectionState::kReusable: break;
-    default: return Distrust::kState;
+    default: return DenialReason::kWrongState;
   }
-  if (facts.suspect_endpoint) return Distrust::kSuspect;
-  if (facts.unread) return Distrust::kUnread;
-  if (facts.worn) return Distrust::kWorn;
-  return facts.first_call_only ? Distrust::kFirstOnly : Distrust::kNone;
+  if (facts.suspect_endpoint) return DenialReason::kSuspectEndpoint;
+  if (facts.unread_input) return DenialReason::kUnreadInput;
+  if (facts.idle_too_long) return DenialReason::kIdleTooLong;
+  return facts.first_call_only ? DenialReason::kFirstCallOnly : DenialReason::kNone;
 }
 
 // A call that has not left whole has not run, whatever is said; only a refusal may come before that.
-Distrust JudgeAnswer(const ConnectionFacts& facts) {
+DenialReason CheckAcceptAnswer(const ConnectionFacts& facts) {
   const bool first = facts.state == ConnectionState::kInFirstCall;
-  if (!first && facts.state != ConnectionState::kInLaterCall) return Distrust::kState;
-  if (facts.early && !(first && facts.refusal && !facts.sent)) return Distrust::kEarly;
-  if (facts.held_up) return Distrust::kHeldUp;
-  if (first) return Distrust::kNone;
-  if (facts.suspect_endpoint) return Distrust::kSuspect;
-  if (facts.spoilt) return Distrust::kSpoilt;
-  return facts.more_behind ? Distrust::kMoreBehind : Distrust::kNone;
+  if (!first && facts.state != ConnectionState::kInLaterCall) return DenialReason::kWrongState;
+  if (facts.answered_early && !(first && facts.refusal && !facts.request_sent))
+    return DenialReason::kEarlyAnswer;
+  if (facts.write_delayed) return DenialReason::kWriteDelayed;
+  if (first) return DenialReason::kNone;
+  if (facts.suspect_endpoint) return DenialReason::kSuspectEndpoint;
+  if (facts.malformed) return DenialReason::kMalformedAnswer;
+  return facts.trailing_bytes ? DenialReason::kTrailingBytes : DenialReason::kNone;
 }
 
-Distrust JudgeKeeping(const ConnectionFacts& facts) {
-  if (facts.more_behind) return Distrust::kMoreBehind;
-  if (facts.early) return Distrust::kEarly;
-  if (!facts.keep_alive) return Distrust::kOtherSide;
-  if (facts.suspect_endpoint) return Distrust::kSuspect;
+DenialReason CheckKeepOpen(const ConnectionFacts& facts) {
+  if (facts.trailing_bytes) return DenialReason::kTrailingBytes;
+  if (facts.answered_early) return DenialReason::kEarlyAnswer;
+  if (!facts.keep_alive) return DenialReason::kEndedByPeer;
+  if (facts.suspect_endpoint) return DenialReason::kSuspectEndpoint;
   const bool later = facts.state == ConnectionState::kInLaterCall;
-  return later && !facts.delivered ? Distrust::kNotDelivered : Distrust::kNone;
+  return later && !facts.delivered ? DenialReason::kNotDelivered : DenialReason::kNone;
 }
 
 }  // namespace
@@ -56,66 +58,66 @@
   return "unknown";
 }
 
-std::string_view NameOf(Distrust why) {
+std::string_view NameOf(DenialReason why) {
   switch (why) {
-    case Distrust::kNone: return "none";
-    case Distrust::kState: return "not in a state for it";
-    case Distrust::kSettling: return "settling";
-    case Distrust::kSuspect: return "suspect endpoint";
-    case Distrust::kUnread: return "bytes or its end lie there";
-    case Distrust::kWorn: return "idle for too long";
-    case Distrust::kFirstOnly: return "first call only";
-    case Distrust::kEarly: return "early answer";
-    case Distrust::kMoreBehind: return "more behind the answer";
-    case Distrust::kSpoilt: return "spoilt on a used connection";
-    case Distrust::kHeldUp: return "held up at the writing";
-    case Distrust::kNotDelivered: return "no delivery on a used connection";
-    case Distrust::kMoved: return "another address";
-    case Distrust::kOtherSide: return "ended by the other side";
+    case DenialReason::kNone: return "none";
+    case DenialReason::kWrongState: return "not in a state for it";
+    case DenialReason::kSettling: return "settling";
+    case DenialReason::kSuspectEndpoint: return "suspect endpoint";
+    case DenialReason::kUnreadInput: return "bytes or its end lie there";
+    case DenialReason::kIdleTooLong: return "idle for too long";
+    case DenialReason::kFirstCallOnly: return "first call only";
+    case DenialReason::kEarlyAnswer: return "early answer";
+    case DenialReason::kTrailingBytes: return "more behind the answer";
+    case DenialReason::kMalformedAnswer: return "spoilt on a used connection";
+    case DenialReason::kWriteDelayed: return "held up at the writing";
+    case DenialReason::kNotDelivered: return "no delivery on a used connection";
+    case DenialReason::kAddressChanged: return "another address";
+    case DenialReason::kEndedByPeer: return "ended by the other side";
   }
   return "unknown";
 }
 
-Distrust Judge(const ConnectionFacts& facts, ConnectionUse use) {
+DenialReason CheckConnectionUse(const ConnectionFacts& facts, ConnectionUse use) {
   switch (use) {
-    case ConnectionUse::kCarryCall: return JudgeCarrying(facts);
-    case ConnectionUse::kBelieveAnswer: return JudgeAnswer(facts);
-    case ConnectionUse::kKeep: return JudgeKeeping(facts);
+    case ConnectionUse::kSendCall: return CheckSendCall(facts);
+    case ConnectionUse::kAcceptAnswer: return CheckAcceptAnswer(facts);
+    case ConnectionUse::kKeepOpen: return CheckKeepOpen(facts);
   }
-  return Distrust::kState;
+  return DenialReason::kWrongState;
 }
 
-bool WantsFirstCall(const RepeatRules& rules) { return rules.effect == Effect::kUnsafe; }
+bool RequiresFreshConnection(const RepeatRules& rules) { return rules.effect == Effect::kUnsafe; }
 
-bool IsSign(Distrust why) {
-  return why == Distrust::kUnread || why == Distrust::kEarly || why == Distrust::kMoreBehind ||
-         why == Distrust::kHeldUp;
+bool IndicatesUnsolicitedData(DenialReason why) {
+  return why == DenialReason::kUnreadInput || why == DenialReason::kEarlyAnswer ||
+         why == DenialReason::kTrailingBytes || why == DenialReason::kWriteDelayed;
 }
 
-void ConnectionLife::Call(Micros now) {
+void ConnectionLifecycle::MarkCallStarted(Micros now) {
   Enter(calls_ == 0 ? ConnectionState::kInFirstCall : ConnectionState::kInLaterCall, now);
   ++calls_;
 }
 
-ConnectionState ConnectionLife::At(Micros now) const {
-  const bool silent = state_ == ConnectionState::kSettling && now - since_ >= kSilence;
+ConnectionState ConnectionLifecycle::At(Micros now) const {
+  const bool silent = state_ == ConnectionState::kSettling && now - since_ >= kQuietPeriod;
   return silent ? ConnectionState::kReusable : state_;
 }
 
-bool SuspectEndpoints::Sign(const EndpointId& endpoint, Micros now) {
+bool SuspectEndpoints::ReportUnsolicitedData(const EndpointId& endpoint, Micros now) {
   std::erase_if(until_, [now](const auto& entry) { return entry.second <= now; });
-  until_[endpoint] = now + kSuspectFor;
-  const Micros latest = now + kSuspectFor - kOneCauseWithin;
+  until_[endpoint] = now + kSuspectDuration;
+  const Micros latest = now + kSuspectDuration - kCommonCauseWindow;
   const auto of_late = std::count_if(until_.begin(), until_.end(),
                                      [latest](const auto& entry) { return entry.second >= latest; });
-  if (static_cast<std::size_t>(of_late) < kSuspectsForAll) return false;
-  const bool news = !All(now);
-  all_until_ = now + kSuspectFor;
+  if (static_cast<std::size_t>(of_late) < kSuspectsImplyingAll) return false;
+  const bool news = !AllSuspect(now);
+  all_until_ = now + kSuspectDuration;
   return news;
 }
 
-bool SuspectEndpoints::Suspect(const EndpointId& endpoint, Micros now) const {
-  if (All(now)) return true;
+bool SuspectEndpoints::IsSuspect(const EndpointId& endpoint, Micros now) const {
+  if (AllSuspect(now)) return true;
   const auto it = until_.find(endpoint);
   return it != until_.end() && now < it->second;
 }
--- a/src/brain/connection_trust.h
+++ b/src/brain/connection_trust.h
@@ -30,73 +30,75 @@
 std::string_view NameOf(ConnectionState state);
 
 enum class ConnectionUse : std::uint8_t {
-  kCarryCall,      // write a call on it
-  kBelieveAnswer,  // end its call by what has come
-  kKeep,           // keep it behind an answer
+  kSendCall,      // write a call on it
+  kAcceptAnswer,  // end its call by what has come
+  kKeepOpen,      // keep it behind an answer
 };
 
 // Why a connection may not be used so.
-enum class Distrust : std::uint8_t {
+enum class DenialReason : std::uint8_t {
   kNone,
-  kState,         // not in a state for it
-  kSettling,      // not silent for long enough
-  kSuspect,       // its endpoint has said something unasked
-  kUnread,        // bytes, or its end, lie there
-  kWorn,          // the other side may close it at any moment
-  kFirstOnly,     // the message may not be repeated: its call is the first of a connection
-  kEarly,         // before the call's last byte had left
-  kMoreBehind,    // more came with the answer
-  kSpoilt,        // it can't be read to its end, or is cut: on a used connection it may be two halves
-  kHeldUp,        // bytes came between the look for them and the writing of the call
-  kNotDelivered,  // no delivery, on a used connection: the call's own answer may still be owed
-  kMoved,         // the endpoint has another address by now
-  kOtherSide,     // it closes, or says that it will
+  kWrongState,       // not in a state for it
+  kSettling,         // not silent for long enough
+  kSuspectEndpoint,  // its endpoint has said something unasked
+  kUnreadInput,      // bytes, or its end, lie there
+  kIdleTooLong,      // the other side may close it at any moment
+  kFirstCallOnly,    // the message may not be repeated: its call is the first of a connection
+  kEarlyAnswer,      // before the call's last byte had left
+  kTrailingBytes,    // more came with the answer
+  kMalformedAnswer,  // it can't be read to its end, or is cut: on a used connection it may be two halves
+  kWriteDelayed,     // bytes came between the look for them and the writing of the call
+  kNotDelivered,     // no delivery, on a used connection: the call's own answer may still be owed
+  kAddressChanged,   // the endpoint has another address by now
+  kEndedByPeer,      // it closes, or says that it will
 };
-constexpr std::size_t kDistrusts = static_cast<std::size_t>(Distrust::kOtherSide) + 1;
-std::string_view NameOf(Distrust why);
+constexpr std::size_t kDenialReasons = static_cast<std::size_t>(DenialReason::kEndedByPeer) + 1;
+std::string_view NameOf(DenialReason why);
 
 // What is known of a connection as it is to be used.
 struct ConnectionFacts {
   ConnectionState state = ConnectionState::kClosed;
   bool suspect_endpoint = false;
-  bool unread = false;           // something lies there
-  bool moved = false;            // its endpoint has another address by now
-  bool worn = false;             // idle for about as long as the other side allows
+  bool unread_input = false;     // something lies there
+  bool address_changed = false;  // its endpoint has another address by now
+  bool idle_too_long = false;    // idle for about as long as the other side allows
   bool first_call_only = false;  // asked of by the call
   // Of an answer.
-  bool sent = false;         // the call's last byte has left
-  bool early = false;        // it began before that
-  bool refusal = false;      // it says that the call has not run
-  bool delivered = false;    // it says that the message is delivered
-  bool more_behind = false;  // bytes behind it
-  bool spoilt = false;       // its first line alone can be read
-  bool held_up = false;      // something lay there as the call was written
-  bool keep_alive = true;    // whole, readable, and the other side goes on
+  bool request_sent = false;    // the call's last byte has left
+  bool answered_early = false;  // it began before that
+  bool refusal = false;         // it says that the call has not run
+  bool delivered = false;       // it says that the message is delivered
+  bool trailing_bytes = false;  // bytes behind it
+  bool malformed = false;       // its first line alone can be read
+  bool write_delayed = false;   // something lay there as the call was written
+  bool keep_alive = true;       // whole, readable, and the other side goes on
 };
 
 // The one place where this is decided.
-Distrust Judge(const ConnectionFacts& facts, ConnectionUse use);
+DenialReason CheckConnectionUse(const ConnectionFacts& facts, ConnectionUse use);
 
 // Whether a call goes out as the first of a connection only: what may not be repeated has no second way.
-bool WantsFirstCall(const RepeatRules& rules);
+bool RequiresFreshConnection(const RepeatRules& rules);
 
 // The state of one connection.
-class ConnectionLife {
+class ConnectionLifecycle {
  public:
   // How long a connection has to be silent behind an answer before it carries another call. A copy that
   // comes within it is met.
-  static constexpr Micros kSilence = std::chrono::milliseconds(300);
+  static constexpr Micros kQuietPeriod = std::chrono::milliseconds(300);
   // From the look for unread bytes to the end of the writing: longer, and the look is taken again.
-  static constexpr Micros kLookHolds = std::chrono::milliseconds(1);
+  static constexpr Micros kUnreadCheckValidFor = std::chrono::milliseconds(1);
 
-  explicit ConnectionLife(Micros now) : since_(now), made_(now) {}
+  explicit ConnectionLifecycle(Micros now) : since_(now), made_(now) {}
 
-  void Up(Micros now) { Enter(ConnectionState::kFresh, now); }
-  void Call(Micros now);
-  void Rest(Micros now) { Enter(ConnectionState::kReadingRest, now); }
-  void Answered(Micros now) { Enter(ConnectionState::kSettling, now); }
-  void Unused(Micros now) { Enter(calls_ == 0 ? ConnectionState::kFresh : ConnectionState::kSettling, now); }
-  void Closed(Micros now) { Enter(ConnectionState::kClosed, now); }
+  void MarkConnected(Micros now) { Enter(ConnectionState::kFresh, now); }
+  void MarkCallStarted(Micros now);
+  void MarkReadingRest(Micros now) { Enter(ConnectionState::kReadingRest, now); }
+  void MarkAnswered(Micros now) { Enter(ConnectionState::kSettling, now); }
+  void MarkUnused(Micros now) {
+    Enter(calls_ == 0 ? ConnectionState::kFresh : ConnectionState::kSettling, now);
+  }
+  void MarkClosed(Micros now) { Enter(ConnectionState::kClosed, now); }
 
   ConnectionState At(Micros now) const;
   Micros since() const { return since_; }
@@ -113,23 +115,23 @@
 
 // Whether it speaks of the endpoint that an answer is not believed, or that bytes came, for this reason. A
 // spoilt answer is the endpoint's own fault and no other call's answer.
-bool IsSign(Distrust why);
+bool IndicatesUnsolicitedData(DenialReason why);
 
 // Endpoints that have said something unasked. Each of their calls has a connection of its own.
 class SuspectEndpoints {
  public:
   // Behind the latest sign. A peer that says things twice does so until it is mended.
-  static constexpr Micros kSuspectFor = std::chrono::minutes(10);
+  static constexpr Micros kSuspectDuration = std::chrono::minutes(10);
   // So many, with signs within so long, speak for something in front of all of them.
-  static constexpr std::size_t kSuspectsForAll = 2;
-  static constexpr Micros kOneCauseWithin = std::chrono::seconds(30);
+  static constexpr std::size_t kSuspectsImplyingAll = 2;
+  static constexpr Micros kCommonCauseWindow = std::chrono::seconds(30);
   // Answers that were believed on a used connection so long before a sign are doubtful with it.
-  static constexpr Micros kDoubtBefore = std::chrono::seconds(10);
+  static constexpr Micros kDoubtfulAnswerWindow = std::chrono::seconds(10);
 
   // True where all endpoints are suspect from now on, and were not.
-  bool Sign(const EndpointId& endpoint, Micros now);
-  bool Suspect(const EndpointId& endpoint, Micros now) const;
-  bool All(Micros now) const { return now < all_until_; }
+  bool ReportUnsolicitedData(const EndpointId& endpoint, Micros now);
+  bool IsSuspect(const EndpointId& endpoint, Micros now) const;
+  bool AllSuspect(Micros now) const { return now < all_until_; }
   std::size_t Count(Micros now) const;
 
  private:
--- a/src/net/call_answer.cpp
+++ b/src/net/call_answer.cpp
@@ -28,12 +28,12 @@
 
 ConnectionFacts CallPool::Connection::FactsOfAnswer(state::Ending ending, bool more_behind) const {
   ConnectionFacts facts = Facts();
-  facts.sent = sent_;
-  facts.early = early_;
+  facts.request_sent = sent_;
+  facts.answered_early = early_;
   facts.refusal = IsRefusal(ending);
   facts.delivered = ending == state::Ending::kDelivered;
-  facts.more_behind = more_behind;
-  facts.held_up = held_up_;
+  facts.trailing_bytes = more_behind;
+  facts.write_delayed = held_up_;
   return facts;
 }
 
@@ -50,8 +50,8 @@
   const bool more_behind = reader_.done() && !good;
   ConnectionFacts facts = FactsOfAnswer(state::Ending::kDelivered, more_behind);
   facts.keep_alive = good && reader_.keep_alive();
-  if (more_behind) pool_.Said(*this, Distrust::kMoreBehind, last_read_);
-  pool_.RestEnded(*this, Judge(facts, ConnectionUse::kKeep));
+  if (more_behind) pool_.Said(*this, DenialReason::kTrailingBytes, last_read_);
+  pool_.RestEnded(*this, CheckConnectionUse(facts, ConnectionUse::kKeepOpen));
 }
 
 // A call is settled by its answer's head once that is in, or by its first line alone where that says 200.
@@ -72,49 +72,49 @@
 }
 
 void CallPool::Connection::OnEnd(int) {
-  if (state() == ConnectionState::kReadingRest) return pool_.RestEnded(*this, Distrust::kOtherSide);
+  if (state() == ConnectionState::kReadingRest) return pool_.RestEnded(*this, DenialReason::kEndedByPeer);
   if (!in_call_) return pool_.IdleEnded(*this, {});
   reader_.TakeEnd();
   if (reader_.done()) return Answered(false, false);
   if (reader_.status() == 200) return Spoilt();
-  if (begun_) return End(state::Ending::kBrokenMidAnswer, Distrust::kOtherSide);
-  End(sent_ ? state::Ending::kBrokenAfterSent : state::Ending::kBrokenBeforeSent, Distrust::kOtherSide);
+  if (begun_) return End(state::Ending::kBrokenMidAnswer, DenialReason::kEndedByPeer);
+  End(sent_ ? state::Ending::kBrokenAfterSent : state::Ending::kBrokenBeforeSent, DenialReason::kEndedByPeer);
 }
 
 // An answer of which a part is missing, or not to be read. On a used connection it may be two halves.
 void CallPool::Connection::Spoilt() {
-  if (reader_.status() != 200) return End(state::Ending::kUnreadable, Distrust::kOtherSide);
+  if (reader_.status() != 200) return End(state::Ending::kUnreadable, DenialReason::kEndedByPeer);
   ConnectionFacts facts = FactsOfAnswer(state::Ending::kDelivered, false);
-  facts.spoilt = true;
-  const Distrust why = Judge(facts, ConnectionUse::kBelieveAnswer);
-  if (why != Distrust::kNone) return Disbelieve(why, state::Ending::kDelivered);
+  facts.malformed = true;
+  const DenialReason why = CheckConnectionUse(facts, ConnectionUse::kAcceptAnswer);
+  if (why != DenialReason::kNone) return Disbelieve(why, state::Ending::kDelivered);
   judged_ = true;
-  End(state::Ending::kDelivered, Distrust::kOtherSide);
+  End(state::Ending::kDelivered, DenialReason::kEndedByPeer);
 }
 
 void CallPool::Connection::Answered(bool more_behind, bool keep_alive) {
   const state::Ending ending = state::EndingOf(reader_.status(), reader_.header("x-no-slot") == "1");
   ConnectionFacts facts = FactsOfAnswer(ending, more_behind);
   facts.keep_alive = keep_alive;
-  const Distrust why = Judge(facts, ConnectionUse::kBelieveAnswer);
-  if (why != Distrust::kNone) return Disbelieve(why, ending);
+  const DenialReason why = CheckConnectionUse(facts, ConnectionUse::kAcceptAnswer);
+  if (why != DenialReason::kNone) return Disbelieve(why, ending);
   judged_ = true;
   CallResult result = ResultOf(ending);
   result.wait = ToldWait(reader_);
   result.load = ParseLoad(reader_.header("endpoint-load-metrics"));
   if (life_.calls() > 1 && state::MeaningOf(ending).over) pool_.Believed(*this, serial_);
-  if (more_behind) pool_.Said(*this, Distrust::kMoreBehind, last_read_);
-  const Distrust kept = Judge(facts, ConnectionUse::kKeep);
-  const After after = kept != Distrust::kNone ? After::kClose
-                      : reader_.done()        ? After::kKeep
-                                              : After::kAwaitRest;
+  if (more_behind) pool_.Said(*this, DenialReason::kTrailingBytes, last_read_);
+  const DenialReason kept = CheckConnectionUse(facts, ConnectionUse::kKeepOpen);
+  const After after = kept != DenialReason::kNone ? After::kClose
+                      : reader_.done()            ? After::kKeep
+                                                  : After::kAwaitRest;
   pool_.Finished(*this, result, after, kept);
 }
 
 // The call ends as one that may have run, or that has never left. A wait binds whoever it was told to.
-void CallPool::Connection::Disbelieve(Distrust why, state::Ending said) {
+void CallPool::Connection::Disbelieve(DenialReason why, state::Ending said) {
   pool_.NotBelieved(*this, why, said);
-  if (IsSign(why)) pool_.Said(*this, why, last_read_);
+  if (IndicatesUnsolicitedData(why)) pool_.Said(*this, why, last_read_);
   CallResult result = ResultOf(sent_ ? state::Ending::kUnreadable : state::Ending::kBrokenBeforeSent);
   result.wait = ToldWait(reader_);
   pool_.Finished(*this, result, After::kClose, why);
--- a/src/net/call_connection.cpp
+++ b/src/net/call_connection.cpp
@@ -34,23 +34,23 @@
 ConnectionFacts CallPool::Connection::Facts() const {
   ConnectionFacts facts;
   facts.state = state();
-  facts.suspect_endpoint = pool_.suspects_.Suspect(host_, Now());
+  facts.suspect_endpoint = pool_.suspects_.IsSuspect(host_, Now());
   return facts;
 }
 
-Distrust CallPool::Connection::MayCarry(const std::string& dial, bool first_call_only) const {
+DenialReason CallPool::Connection::MayCarry(const std::string& dial, bool first_call_only) const {
   ConnectionFacts facts = Facts();
-  facts.moved = dial != dial_;
-  facts.worn = pool_.Worn(*this);
-  facts.unread = !stream_.silent();
+  facts.address_changed = dial != dial_;
+  facts.idle_too_long = pool_.Worn(*this);
+  facts.unread_input = !stream_.silent();
   facts.first_call_only = first_call_only;
-  return Judge(facts, ConnectionUse::kCarryCall);
+  return CheckConnectionUse(facts, ConnectionUse::kSendCall);
 }
 
 void CallPool::Connection::Close() {
   timeout_.Stop(), phase_.Stop(), StopLastByte();
   stream_.undelivered() ? stream_.Abort() : stream_.Close();
-  life_.Closed(Now());
+  life_.MarkClosed(Now());
 }
 
 void CallPool::Connection::Begin(const CallRequest& request, bool connect) {
@@ -78,14 +78,14 @@
 
 void CallPool::Connection::AwaitRest() {
   in_call_ = false;
-  life_.Rest(Now());
+  life_.MarkReadingRest(Now());
   timeout_.Stop(), StopLastByte();
   phase_.Start(kAnswerPatience);
 }
 
 void CallPool::Connection::Settle() {
   in_call_ = false;
-  life_.calls() == 0 ? life_.Up(Now()) : life_.Answered(Now());
+  life_.calls() == 0 ? life_.MarkConnected(Now()) : life_.MarkAnswered(Now());
   timeout_.Stop(), phase_.Stop(), StopLastByte();
 }
 
@@ -93,11 +93,11 @@
   phase_.Stop();
   if (error != 0) return End(error == UV_ECONNREFUSED ? state::Ending::kRefused : state::Ending::kNeverUp);
   up_ = true;
-  life_.Up(Now());
+  life_.MarkConnected(Now());
   if (stream_.StartReading() != 0) return End(state::Ending::kBrokenBeforeSent);
   const StartPermit permit = pool_.may_start_(serial_);
   if (!permit)
-    return pool_.Finished(*this, ResultOf(state::Ending::kNotStarted), After::kKeep, Distrust::kNone);
+    return pool_.Finished(*this, ResultOf(state::Ending::kNotStarted), After::kKeep, DenialReason::kNone);
   Send(*permit);
 }
 
@@ -105,21 +105,21 @@
 // have taken time as well, so the connection is looked at once more.
 void CallPool::Connection::Send(Micros last_byte_by) {
   const Micros looked_at = Now();
-  const Distrust why = MayCarry(dial_, request_.first_call_only);
-  if (why != Distrust::kNone) {
-    if (why != Distrust::kUnread && why != Distrust::kWorn) pool_.Break(*this, why);
+  const DenialReason why = MayCarry(dial_, request_.first_call_only);
+  if (why != DenialReason::kNone) {
+    if (why != DenialReason::kUnreadInput && why != DenialReason::kIdleTooLong) pool_.Break(*this, why);
     if (const std::size_t bytes = stream_.unread(); bytes > 0) pool_.Said(*this, why, bytes);
     failure_ = state::Ending::kBrokenBeforeSent;
     return timeout_.Start(Micros(0));
   }
-  life_.Call(Now());
+  life_.MarkCallStarted(Now());
   request_.timeout = std::max(Micros(0), request_.timeout - (Now() - began_));
   const int error = stream_.Write(FormatCall(std::exchange(request_, {})));
   if (error != 0) {  // known before any byte left: no part of the call was sent
     failure_ = state::Ending::kBrokenBeforeSent;
     return timeout_.Start(Micros(0));
   }
-  held_up_ = Now() - looked_at > ConnectionLife::kLookHolds && stream_.unread() > 0;
+  held_up_ = Now() - looked_at > ConnectionLifecycle::kUnreadCheckValidFor && stream_.unread() > 0;
   if (stream_.unwritten() == 0) Sent();
   if (last_byte_by == Micros::max()) return;
   if (!last_byte_) last_byte_.emplace(pool_.loop_, [this] { OnLastByteDue(); });
@@ -151,14 +151,14 @@
 }
 
 void CallPool::Connection::OnPhaseOver() {
-  if (state() == ConnectionState::kReadingRest) return pool_.RestEnded(*this, Distrust::kOtherSide);
+  if (state() == ConnectionState::kReadingRest) return pool_.RestEnded(*this, DenialReason::kEndedByPeer);
   if (!in_call_) return;
   if (!up_) return End(state::Ending::kNeverUp);
   if (ReadFirst(phase_, stream_)) return;
   Spoilt();
 }
 
-void CallPool::Connection::End(state::Ending ending, Distrust why) {
+void CallPool::Connection::End(state::Ending ending, DenialReason why) {
   pool_.Finished(*this, ResultOf(ending), After::kClose, why);
 }
 
--- a/src/net/call_connection.h
+++ b/src/net/call_connection.h
@@ -1,6 +1,6 @@
 // One connection to an endpoint, a part of CallPool (call_pool.cpp): carries one call at a time, reads its
-// answer, and tells the call's one end through CallPool::Finished. What it may be used for is asked of Judge
-// (brain/connection_trust.h) in each case.
+// answer, and tells the call's one end through CallPool::Finished. What it may be used for is asked of
+// CheckConnectionUse (brain/connection_trust.h) in each case.
 #pragma once
 
 #include <chrono>
@@ -23,12 +23,12 @@
 
   const std::string& host() const { return host_; }
   const std::string& last_id() const { return last_id_; }
-  const ConnectionLife& life() const { return life_; }
+  const ConnectionLifecycle& life() const { return life_; }
   bool up() const { return up_; }
   bool judged() const { return judged_; }
   std::size_t unread() const { return stream_.unread(); }
   ConnectionNote Note() const;
-  Distrust MayCarry(const std::string& dial, bool first_call_only) const;
+  DenialReason MayCarry(const std::string& dial, bool first_call_only) const;
 
   // The call's end comes later, through Finished, in every case.
   void Begin(const CallRequest& request, bool connect);
@@ -56,8 +56,8 @@
   void TakeAnswer(bool good);
   void Answered(bool more_behind, bool keep_alive);
   void Spoilt();
-  void Disbelieve(Distrust why, state::Ending said);
-  void End(state::Ending ending, Distrust why = Distrust::kNone);
+  void Disbelieve(DenialReason why, state::Ending said);
+  void End(state::Ending ending, DenialReason why = DenialReason::kNone);
 
   Micros Now() const { return pool_.loop_.Now(); }
   ConnectionState state() const { return life_.At(Now()); }
@@ -68,7 +68,7 @@
   CallPool& pool_;
   const std::string host_, dial_;
   const std::uint64_t number_;
-  ConnectionLife life_;
+  ConnectionLifecycle life_;
   HttpReader reader_;
   Stream stream_;
   Timer timeout_, phase_;           // phase: connecting, an answer that has begun, or the rest of one
--- a/src/net/call_pool.cpp
+++ b/src/net/call_pool.cpp
@@ -42,10 +42,10 @@
   raw->Begin(request, connect);
 }
 
-void CallPool::Finished(Connection& connection, const CallResult& result, After after, Distrust why) {
+void CallPool::Finished(Connection& connection, const CallResult& result, After after, DenialReason why) {
   auto node = busy_.extract(&connection);
   if (node.empty()) return;
-  if (state::IsAnswer(result.ending) && !connection.judged()) Break(connection, Distrust::kState);
+  if (state::IsAnswer(result.ending) && !connection.judged()) Break(connection, DenialReason::kWrongState);
   if (after == After::kKeep) {
     KeepIdle(std::move(node.mapped()));
   } else if (after == After::kAwaitRest) {
@@ -58,10 +58,10 @@
   ended_(result);
 }
 
-void CallPool::RestEnded(Connection& connection, Distrust why) {
+void CallPool::RestEnded(Connection& connection, DenialReason why) {
   auto node = rest_.extract(&connection);
   if (node.empty()) return;
-  if (why == Distrust::kNone) return KeepIdle(std::move(node.mapped()));
+  if (why == DenialReason::kNone) return KeepIdle(std::move(node.mapped()));
   ClosedFor(connection, why);
   Bury(std::move(node.mapped()));
 }
@@ -81,8 +81,8 @@
   std::unique_ptr<Connection> ended = std::move(*it);
   idle.erase(it);
   --idle_count_;
-  ClosedFor(connection, bytes.empty() ? Distrust::kOtherSide : Distrust::kUnread);
-  if (!bytes.empty()) Said(connection, Distrust::kUnread, bytes.size(), UnaskedWait(bytes));
+  ClosedFor(connection, bytes.empty() ? DenialReason::kEndedByPeer : DenialReason::kUnreadInput);
+  if (!bytes.empty()) Said(connection, DenialReason::kUnreadInput, bytes.size(), UnaskedWait(bytes));
   Bury(std::move(ended));
 }
 
@@ -90,7 +90,7 @@
   const auto it = idle_.find(host);
   if (it == idle_.end()) return 0;
   return static_cast<std::size_t>(std::count_if(it->second.begin(), it->second.end(), [&](const auto& c) {
-    return c->MayCarry(dial, first_call_only) == Distrust::kNone;
+    return c->MayCarry(dial, first_call_only) == DenialReason::kNone;
   }));
 }
 
@@ -98,20 +98,20 @@
   const auto it = idle_.find(request.host);
   if (it == idle_.end()) return nullptr;
   Idle& idle = it->second;
-  Distrust first_why = Distrust::kNone;
+  DenialReason first_why = DenialReason::kNone;
   for (std::size_t at = 0; at < idle.size();) {
-    const Distrust why = idle[at]->MayCarry(request.dial, request.first_call_only);
-    if (first_why == Distrust::kNone) first_why = why;
-    if (why == Distrust::kSettling || why == Distrust::kFirstOnly) {
+    const DenialReason why = idle[at]->MayCarry(request.dial, request.first_call_only);
+    if (first_why == DenialReason::kNone) first_why = why;
+    if (why == DenialReason::kSettling || why == DenialReason::kFirstCallOnly) {
       ++at;
       continue;
     }
     // What lies there is read in this pass of the loop, and speaks against all others of this endpoint.
-    if (why == Distrust::kUnread && idle[at]->unread() > 0) break;
+    if (why == DenialReason::kUnreadInput && idle[at]->unread() > 0) break;
     std::unique_ptr<Connection> connection = std::move(idle[at]);
     idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(at));
     --idle_count_;
-    if (why == Distrust::kNone) return connection;
+    if (why == DenialReason::kNone) return connection;
     ClosedFor(*connection, why);
   }
   ++counts_.not_reused[static_cast<std::size_t>(first_why)];
@@ -132,7 +132,7 @@
     }
   }
   if (oldest == nullptr) return;
-  ClosedFor(*oldest->front(), Distrust::kNone);
+  ClosedFor(*oldest->front(), DenialReason::kNone);
   oldest->erase(oldest->begin());
   --idle_count_;
 }
@@ -140,7 +140,8 @@
 void CallPool::CloseIdle(const std::string& host) {
   const auto it = idle_.find(host);
   if (it == idle_.end()) return;
-  const Distrust why = suspects_.Suspect(host, loop_.Now()) ? Distrust::kSuspect : Distrust::kNone;
+  const DenialReason why =
+      suspects_.IsSuspect(host, loop_.Now()) ? DenialReason::kSuspectEndpoint : DenialReason::kNone;
   for (const auto& connection : it->second) ClosedFor(*connection, why);
   idle_count_ -= it->second.size();
   idle_.erase(it);
@@ -169,7 +170,7 @@
   for (auto it = idle_.begin(); it != idle_.end();) {
     idle_count_ -= std::erase_if(it->second, [this](const auto& connection) {
       if (!Worn(*connection)) return false;
-      ClosedFor(*connection, Distrust::kWorn);
+      ClosedFor(*connection, DenialReason::kIdleTooLong);
       return true;
     });
     it = it->second.empty() ? idle_.erase(it) : std::next(it);
--- a/src/net/call_pool.h
+++ b/src/net/call_pool.h
@@ -51,7 +51,7 @@
   std::size_t opened() const { return counts_.opened; }
   const CallCounts& counts() const { return counts_; }
   std::size_t suspects() const { return suspects_.Count(loop_.Now()); }
-  bool all_suspect() const { return suspects_.All(loop_.Now()); }
+  bool all_suspect() const { return suspects_.AllSuspect(loop_.Now()); }
 
  private:
   class Connection;
@@ -65,8 +65,8 @@
     Micros at{0};
   };
 
-  void Finished(Connection& connection, const CallResult& result, After after, Distrust why);
-  void RestEnded(Connection& connection, Distrust why);  // kNone: it is kept
+  void Finished(Connection& connection, const CallResult& result, After after, DenialReason why);
+  void RestEnded(Connection& connection, DenialReason why);  // kNone: it is kept
   void KeepIdle(std::unique_ptr<Connection> connection);
   void IdleEnded(Connection& connection, std::string_view bytes);
   static Micros UnaskedWait(std::string_view bytes);
@@ -76,13 +76,13 @@
   void CloseWorn();
   void CloseAllIdle();
   void Bury(std::unique_ptr<Connection> connection);
-  void ClosedFor(const Connection& connection, Distrust why);
+  void ClosedFor(const Connection& connection, DenialReason why);
 
   // What was said unasked, and what follows of it (call_pool_trust.cpp).
-  void Said(const Connection& connection, Distrust why, std::size_t bytes, Micros wait = Micros(0));
+  void Said(const Connection& connection, DenialReason why, std::size_t bytes, Micros wait = Micros(0));
   void Believed(const Connection& connection, std::uint64_t serial);
-  void NotBelieved(const Connection& connection, Distrust why, state::Ending said);
-  void Break(const Connection& connection, Distrust why);
+  void NotBelieved(const Connection& connection, DenialReason why, state::Ending said);
+  void Break(const Connection& connection, DenialReason why);
   void DoubtBeliefs(const std::string& host, bool all);
 
   Loop& loop_;
@@ -91,7 +91,7 @@
   std::function<void(const CallResult&)> ended_;
   CallObserver* observer_ = nullptr;
   SuspectEndpoints suspects_;
-  std::deque<Belief> beliefs_;        // of the last SuspectEndpoints::kDoubtBefore
+  std::deque<Belief> beliefs_;        // of the last SuspectEndpoints::kDoubtfulAnswerWindow
   Owned busy_, rest_;                 // rest: answered, but the answer's body is not all in
   std::map<std::string, Idle> idle_;  // by endpoint, never by address: a new one may take a gone one's
   std::size_t idle_count_ = 0;
--- a/src/net/call_reports.h
+++ b/src/net/call_reports.h
@@ -33,7 +33,7 @@
 struct UnaskedBytes {
   std::string endpoint, last_id;  // last_id: of the latest call on the connection
   ConnectionNote connection;
-  Distrust why = Distrust::kNone;
+  DenialReason why = DenialReason::kNone;
   std::size_t bytes = 0, suspects = 0;
   bool all_suspect = false;
   Micros wait{0};  // that they tell, if any
@@ -44,13 +44,13 @@
   std::string endpoint, id;
   ConnectionNote connection;
   state::Ending said = state::Ending::kUnreadable;
-  Distrust why = Distrust::kNone;
+  DenialReason why = DenialReason::kNone;
 };
 
 struct ClosedConnection {
   std::string endpoint, last_id;
   ConnectionNote connection;
-  Distrust why = Distrust::kNone;  // kNone: for another reason than what was seen on it
+  DenialReason why = DenialReason::kNone;  // kNone: for another reason than what was seen on it
 };
 
 class CallObserver {
@@ -65,7 +65,7 @@
   virtual void OnTrustBreak(const ClosedConnection& connection) = 0;
 };
 
-using DistrustCounts = std::array<std::uint64_t, kDistrusts>;
+using DistrustCounts = std::array<std::uint64_t, kDenialReasons>;
 
 struct CallCounts {
   std::uint64_t opened = 0, reused = 0, written = 0;
--- a/src/node/node_connections.cpp
+++ b/src/node/node_connections.cpp
@@ -45,8 +45,8 @@
 void Node::ReportConnections() {
   const net::CallCounts& counts = pool_.counts();
   log_.Write(base::kConnectionReport, counts.opened, counts.reused, counts.unasked, counts.not_believed,
-             counts.doubted, pool_.suspects(), pool_.all_suspect(), CountsByName<Distrust>(counts.closed),
-             CountsByName<Distrust>(counts.not_reused));
+             counts.doubted, pool_.suspects(), pool_.all_suspect(), CountsByName<DenialReason>(counts.closed),
+             CountsByName<DenialReason>(counts.not_reused));
 }
 
 // In the form of the other figures.
@@ -69,8 +69,8 @@
           {"suspects", pool_.suspects()},
           {"all_suspect", pool_.all_suspect()},
           {"breaks", counts.breaks},
-          {"closed", CountsByName<Distrust>(counts.closed)},
-          {"not_reused", CountsByName<Distrust>(counts.not_reused)}};
+          {"closed", CountsByName<DenialReason>(counts.closed)},
+          {"not_reused", CountsByName<DenialReason>(counts.not_reused)}};
 }
 
 }  // namespace indigosaddle::node
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -203,7 +203,7 @@
 }
 bool Node::FirstCallOnly(state::Serial serial) const {
   const auto owed = state_.owed.find(serial);
-  return owed == state_.owed.end() || WantsFirstCall(owed->second.taken.rules);
+  return owed == state_.owed.end() || RequiresFreshConnection(owed->second.taken.rules);
 }
 bool Node::Refuse(MessageId id, Micros not_before, GiveUpCause cause) {
   if (watcher_) watcher_->Refused(id);
--- a/tests/brain_connection_trust_test.cpp
+++ b/tests/brain_connection_trust_test.cpp
@@ -1,4 +1,5 @@
-// What a connection may be used for, and which answers are believed: the table of Judge, state by state.
+// What a connection may be used for, and which answers are believed: the table of CheckConnectionUse, state
+// by state.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -17,18 +18,24 @@
 ConnectionFacts In(ConnectionState state) {
   ConnectionFacts facts;
   facts.state = state;
-  facts.sent = true;
+  facts.request_sent = true;
   return facts;
 }
-Distrust Carry(const ConnectionFacts& facts) { return Judge(facts, ConnectionUse::kCarryCall); }
-Distrust Believe(const ConnectionFacts& facts) { return Judge(facts, ConnectionUse::kBelieveAnswer); }
-Distrust Keep(const ConnectionFacts& facts) { return Judge(facts, ConnectionUse::kKeep); }
+DenialReason Carry(const ConnectionFacts& facts) {
+  return CheckConnectionUse(facts, ConnectionUse::kSendCall);
+}
+DenialReason Believe(const ConnectionFacts& facts) {
+  return CheckConnectionUse(facts, ConnectionUse::kAcceptAnswer);
+}
+DenialReason Keep(const ConnectionFacts& facts) {
+  return CheckConnectionUse(facts, ConnectionUse::kKeepOpen);
+}
 
 // Guards against a call on a connection on which something can still come.
 TEST(ConnectionTrust, OnlyAFreshOrASilentOneCarriesACall) {
   for (const ConnectionState state : kAllStates) {
     const bool may = state == ConnectionState::kFresh || state == ConnectionState::kReusable;
-    EXPECT_EQ(Carry(In(state)) == Distrust::kNone, may) << NameOf(state);
+    EXPECT_EQ(Carry(In(state)) == DenialReason::kNone, may) << NameOf(state);
   }
 }
 
@@ -38,36 +45,36 @@
     change(facts);
     return Carry(facts);
   };
-  EXPECT_EQ(with([](ConnectionFacts& f) { f.suspect_endpoint = true; }), Distrust::kSuspect);
-  EXPECT_EQ(with([](ConnectionFacts& f) { f.unread = true; }), Distrust::kUnread);
-  EXPECT_EQ(with([](ConnectionFacts& f) { f.worn = true; }), Distrust::kWorn);
-  EXPECT_EQ(with([](ConnectionFacts& f) { f.moved = true; }), Distrust::kMoved);
-  EXPECT_EQ(with([](ConnectionFacts& f) { f.first_call_only = true; }), Distrust::kFirstOnly);
+  EXPECT_EQ(with([](ConnectionFacts& f) { f.suspect_endpoint = true; }), DenialReason::kSuspectEndpoint);
+  EXPECT_EQ(with([](ConnectionFacts& f) { f.unread_input = true; }), DenialReason::kUnreadInput);
+  EXPECT_EQ(with([](ConnectionFacts& f) { f.idle_too_long = true; }), DenialReason::kIdleTooLong);
+  EXPECT_EQ(with([](ConnectionFacts& f) { f.address_changed = true; }), DenialReason::kAddressChanged);
+  EXPECT_EQ(with([](ConnectionFacts& f) { f.first_call_only = true; }), DenialReason::kFirstCallOnly);
   ConnectionFacts fresh = In(ConnectionState::kFresh);
   fresh.first_call_only = fresh.suspect_endpoint = true;
-  EXPECT_EQ(Carry(fresh), Distrust::kNone);
-  fresh.unread = true;
-  EXPECT_EQ(Carry(fresh), Distrust::kUnread);
+  EXPECT_EQ(Carry(fresh), DenialReason::kNone);
+  fresh.unread_input = true;
+  EXPECT_EQ(Carry(fresh), DenialReason::kUnreadInput);
 }
 
 // Guards against an answer that ends a call which is not out, or whose endpoint says things twice.
 TEST(ConnectionTrust, AnAnswerIsBelievedWhereItCanBeNoOther) {
   for (const ConnectionState state : kAllStates) {
     const bool may = state == ConnectionState::kInFirstCall || state == ConnectionState::kInLaterCall;
-    EXPECT_EQ(Believe(In(state)) == Distrust::kNone, may) << NameOf(state);
+    EXPECT_EQ(Believe(In(state)) == DenialReason::kNone, may) << NameOf(state);
   }
   for (const bool first : {true, false}) {
     ConnectionFacts facts = In(first ? ConnectionState::kInFirstCall : ConnectionState::kInLaterCall);
     facts.suspect_endpoint = true;
-    EXPECT_EQ(Believe(facts), first ? Distrust::kNone : Distrust::kSuspect);
+    EXPECT_EQ(Believe(facts), first ? DenialReason::kNone : DenialReason::kSuspectEndpoint);
     facts.suspect_endpoint = false;
-    facts.more_behind = true;
-    EXPECT_EQ(Believe(facts), first ? Distrust::kNone : Distrust::kMoreBehind);
-    facts.more_behind = false;
-    facts.spoilt = true;
-    EXPECT_EQ(Believe(facts), first ? Distrust::kNone : Distrust::kSpoilt);
-    facts.held_up = true;
-    EXPECT_EQ(Believe(facts), Distrust::kHeldUp);
+    facts.trailing_bytes = true;
+    EXPECT_EQ(Believe(facts), first ? DenialReason::kNone : DenialReason::kTrailingBytes);
+    facts.trailing_bytes = false;
+    facts.malformed = true;
+    EXPECT_EQ(Believe(facts), first ? DenialReason::kNone : DenialReason::kMalformedAnswer);
+    facts.write_delayed = true;
+    EXPECT_EQ(Believe(facts), DenialReason::kWriteDelayed);
   }
 }
 
@@ -77,11 +84,11 @@
     for (const bool refusal : {true, false})
       for (const bool sent : {true, false}) {
         ConnectionFacts facts = In(first ? ConnectionState::kInFirstCall : ConnectionState::kInLaterCall);
-        facts.early = true;
+        facts.answered_early = true;
         facts.refusal = refusal;
-        facts.sent = sent;
-        EXPECT_EQ(Believe(facts) == Distrust::kNone, first && refusal && !sent);
-        EXPECT_EQ(Keep(facts), Distrust::kEarly);
+        facts.request_sent = sent;
+        EXPECT_EQ(Believe(facts) == DenialReason::kNone, first && refusal && !sent);
+        EXPECT_EQ(Keep(facts), DenialReason::kEarlyAnswer);
       }
 }
 
@@ -90,42 +97,43 @@
   for (const bool delivered : {true, false}) {
     ConnectionFacts facts = In(ConnectionState::kInLaterCall);
     facts.delivered = delivered;
-    EXPECT_EQ(Keep(facts), delivered ? Distrust::kNone : Distrust::kNotDelivered);
+    EXPECT_EQ(Keep(facts), delivered ? DenialReason::kNone : DenialReason::kNotDelivered);
     facts.state = ConnectionState::kInFirstCall;
-    EXPECT_EQ(Keep(facts), Distrust::kNone);
+    EXPECT_EQ(Keep(facts), DenialReason::kNone);
   }
 }
 
 TEST(ConnectionTrust, SettlesByTime) {
-  ConnectionLife life(seconds(1));
+  ConnectionLifecycle life(seconds(1));
   EXPECT_EQ(life.At(seconds(1)), ConnectionState::kConnecting);
-  life.Up(seconds(2));
-  life.Call(seconds(2));
+  life.MarkConnected(seconds(2));
+  life.MarkCallStarted(seconds(2));
   EXPECT_EQ(life.At(seconds(9)), ConnectionState::kInFirstCall);
-  life.Answered(seconds(10));
-  EXPECT_EQ(life.At(seconds(10) + ConnectionLife::kSilence - milliseconds(1)), ConnectionState::kSettling);
-  EXPECT_EQ(life.At(seconds(10) + ConnectionLife::kSilence), ConnectionState::kReusable);
-  life.Call(seconds(12));
+  life.MarkAnswered(seconds(10));
+  EXPECT_EQ(life.At(seconds(10) + ConnectionLifecycle::kQuietPeriod - milliseconds(1)),
+            ConnectionState::kSettling);
+  EXPECT_EQ(life.At(seconds(10) + ConnectionLifecycle::kQuietPeriod), ConnectionState::kReusable);
+  life.MarkCallStarted(seconds(12));
   EXPECT_EQ(life.At(seconds(12)), ConnectionState::kInLaterCall);
 }
 
 TEST(ConnectionTrust, OneEndpointIsSuspectAloneAndSeveralSpeakForAll) {
   SuspectEndpoints suspects;
-  EXPECT_FALSE(suspects.Sign("a", seconds(1)));
-  EXPECT_TRUE(suspects.Suspect("a", seconds(1)));
-  EXPECT_FALSE(suspects.Suspect("b", seconds(1)));
-  EXPECT_FALSE(suspects.Sign("a", seconds(2)));
-  EXPECT_FALSE(suspects.All(seconds(2)));
-  EXPECT_TRUE(suspects.Sign("b", seconds(3)));
-  EXPECT_TRUE(suspects.Suspect("c", seconds(3)));
-  EXPECT_FALSE(suspects.Sign("c", seconds(3)));  // no news
-  SuspectEndpoints apart;                        // each for a reason of its own
-  EXPECT_FALSE(apart.Sign("a", seconds(1)));
-  EXPECT_FALSE(apart.Sign("b", seconds(2) + SuspectEndpoints::kOneCauseWithin));
-  EXPECT_TRUE(apart.Suspect("a", seconds(40)));
-  EXPECT_FALSE(apart.Suspect("c", seconds(40)));
-  const Micros over = seconds(3) + SuspectEndpoints::kSuspectFor;
-  EXPECT_FALSE(suspects.Suspect("c", over));
+  EXPECT_FALSE(suspects.ReportUnsolicitedData("a", seconds(1)));
+  EXPECT_TRUE(suspects.IsSuspect("a", seconds(1)));
+  EXPECT_FALSE(suspects.IsSuspect("b", seconds(1)));
+  EXPECT_FALSE(suspects.ReportUnsolicitedData("a", seconds(2)));
+  EXPECT_FALSE(suspects.AllSuspect(seconds(2)));
+  EXPECT_TRUE(suspects.ReportUnsolicitedData("b", seconds(3)));
+  EXPECT_TRUE(suspects.IsSuspect("c", seconds(3)));
+  EXPECT_FALSE(suspects.ReportUnsolicitedData("c", seconds(3)));  // no news
+  SuspectEndpoints apart;                                         // each for a reason of its own
+  EXPECT_FALSE(apart.ReportUnsolicitedData("a", seconds(1)));
+  EXPECT_FALSE(apart.ReportUnsolicitedData("b", seconds(2) + SuspectEndpoints::kCommonCauseWindow));
+  EXPECT_TRUE(apart.IsSuspect("a", seconds(40)));
+  EXPECT_FALSE(apart.IsSuspect("c", seconds(40)));
+  const Micros over = seconds(3) + SuspectEndpoints::kSuspectDuration;
+  EXPECT_FALSE(suspects.IsSuspect("c", over));
   EXPECT_EQ(suspects.Count(over), 0u);
 }
 
--- a/tests/call_pool_test.cpp
+++ b/tests/call_pool_test.cpp
@@ -45,7 +45,7 @@
   }
   // Past the silence behind which a connection is used again.
   void Settle() {
-    const auto end = Clock::now() + ConnectionLife::kSilence + milliseconds(5);
+    const auto end = Clock::now() + ConnectionLifecycle::kQuietPeriod + milliseconds(5);
     while (Clock::now() < end)
       uv_run(loop.raw(), UV_RUN_NOWAIT), std::this_thread::sleep_for(milliseconds(5));
   }
