--- a/src/brain/lifecycle.cpp
+++ b/src/brain/lifecycle.cpp
@@ -22,7 +22,9 @@
 }};
 
 // What another process's calls forbid as well, in every phase.
-constexpr bool NeedsOwnership(Action action) { return action == Action::kBegin || action == Action::kRepeat; }
+constexpr bool NeedsOwnership(Action action) {
+  return action == Action::kBeginFirstCall || action == Action::kRepeatCall;
+}
 
 }  // namespace
 
@@ -41,18 +43,18 @@
 
 std::string_view NameOf(PhaseCause cause) {
   switch (cause) {
-    case PhaseCause::kAsked: return "asked for";
-    case PhaseCause::kTime: return "time";
-    case PhaseCause::kSuccessor: return "a successor serves";
-    case PhaseCause::kNobodyLeft: return "every client has its end";
-    case PhaseCause::kNothingLeft: return "nothing is out";
+    case PhaseCause::kRequested: return "asked for";
+    case PhaseCause::kTimeReached: return "time";
+    case PhaseCause::kSuccessorServes: return "a successor serves";
+    case PhaseCause::kAllClientsDone: return "every client has its end";
+    case PhaseCause::kNothingInFlight: return "nothing is out";
     case PhaseCause::kOutOfTime: return "out of time";
   }
   return "?";
 }
 
-Lifecycle::Lifecycle(Micros now, Observer observer, OnBreak on_break)
-    : observer_(std::move(observer)), on_break_(std::move(on_break)), entered_at_(now) {}
+Lifecycle::Lifecycle(Micros now, Observer observer, OnViolation on_violation)
+    : observer_(std::move(observer)), on_violation_(std::move(on_violation)), entered_at_(now) {}
 
 bool Lifecycle::Allows(Action action) const {
   if (standby_ && NeedsOwnership(action)) return false;
@@ -70,8 +72,8 @@
 void Lifecycle::Did(Action action) {
   ++done_[static_cast<std::size_t>(action)];
   if (Allows(action)) return;
-  ++breaks_;
-  on_break_(phase_, action);
+  ++violations_;
+  on_violation_(phase_, action);
 }
 
 void Lifecycle::Enter(Phase phase, PhaseCause cause, Micros now) {
@@ -87,53 +89,53 @@
 }
 
 void Lifecycle::Serve(Micros now) {
-  if (phase_ == Phase::kStarting) Enter(Phase::kServing, PhaseCause::kAsked, now);
+  if (phase_ == Phase::kStarting) Enter(Phase::kServing, PhaseCause::kRequested, now);
 }
 
 void Lifecycle::Quiesce(Micros now) {
-  if (phase_ == Phase::kServing) Enter(Phase::kQuiesced, PhaseCause::kAsked, now);
+  if (phase_ == Phase::kServing) Enter(Phase::kQuiesced, PhaseCause::kRequested, now);
 }
 
 void Lifecycle::Resume(Micros now) {
-  if (phase_ == Phase::kQuiesced) Enter(Phase::kServing, PhaseCause::kAsked, now);
+  if (phase_ == Phase::kQuiesced) Enter(Phase::kServing, PhaseCause::kRequested, now);
 }
 
 void Lifecycle::Stop(Micros signalled_at, Micros now) {
   if (stopping()) return;
   signalled_at_ = std::min(signalled_at, now);
-  leave_at_ = signalled_at_ + kLeaveAfter;
-  refuse_at_ = signalled_at_ + kRefuseAfter;
+  disconnect_at_ = signalled_at_ + kDisconnectAfter;
+  reject_at_ = signalled_at_ + kRejectAfter;
   calls_end_by_ = signalled_at_ + kEndAfter;
-  Enter(Phase::kDraining, PhaseCause::kAsked, now);
+  Enter(Phase::kDraining, PhaseCause::kRequested, now);
   Advance(now);
 }
 
 void Lifecycle::HandOver(Micros now) {
   if (!stopping() || std::exchange(handing_over_, true)) return;
-  leave_at_ = std::min(leave_at_, now);
-  refuse_at_ = std::min(refuse_at_, now + kHandOverTakes);
-  calls_end_by_ = std::min(calls_end_by_, now + kHandOverTakes);
-  if (phase_ == Phase::kDraining) Enter(Phase::kLeaving, PhaseCause::kSuccessor, now);
+  disconnect_at_ = std::min(disconnect_at_, now);
+  reject_at_ = std::min(reject_at_, now + kHandOverIntake);
+  calls_end_by_ = std::min(calls_end_by_, now + kHandOverIntake);
+  if (phase_ == Phase::kDraining) Enter(Phase::kDisconnecting, PhaseCause::kSuccessorServes, now);
 }
 
 void Lifecycle::Advance(Micros now) {
-  const bool intake = phase_ == Phase::kDraining || phase_ == Phase::kLeaving;
-  if (intake && now >= refuse_at_) {
+  const bool intake = phase_ == Phase::kDraining || phase_ == Phase::kDisconnecting;
+  if (intake && now >= reject_at_) {
     calls_end_by_ = std::min(calls_end_by_, now);
-    Enter(Phase::kRefusing, PhaseCause::kTime, now);
-  } else if (phase_ == Phase::kDraining && now >= leave_at_) {
-    Enter(Phase::kLeaving, PhaseCause::kTime, now);
+    Enter(Phase::kRejecting, PhaseCause::kTimeReached, now);
+  } else if (phase_ == Phase::kDraining && now >= disconnect_at_) {
+    Enter(Phase::kDisconnecting, PhaseCause::kTimeReached, now);
   }
 }
 
-void Lifecycle::AllDismissed(Micros now) {
-  const bool handed_over = phase_ == Phase::kLeaving && handing_over_;
+void Lifecycle::AllClientsDone(Micros now) {
+  const bool handed_over = phase_ == Phase::kDisconnecting && handing_over_;
   if (handed_over) calls_end_by_ = std::min(calls_end_by_, now);
-  if (phase_ == Phase::kRefusing || handed_over) Enter(Phase::kClosing, PhaseCause::kNobodyLeft, now);
+  if (phase_ == Phase::kRejecting || handed_over) Enter(Phase::kClosing, PhaseCause::kAllClientsDone, now);
 }
 
 void Lifecycle::End(PhaseCause cause, Micros now) {
-  Did(Action::kEnd);
+  Did(Action::kEndProcess);
   Enter(Phase::kEnded, cause, now);
 }
 
--- a/src/net/resp_connection.cpp
+++ b/src/net/resp_connection.cpp
@@ -96,7 +96,7 @@
     if (discarded_ > resp::kMostDiscarded) stream_.StopReading();
     return;
   }
-  if (leaving_ || !server_.handler_.May(Action::kRead)) return;
+  if (leaving_ || !server_.handler_.May(Action::kReadCommand)) return;
   quiet_since_ = server_.loop_.Now();
   if (reader_.between_commands() && backlog_.empty()) command_since_ = quiet_since_;
   backlog_.append(bytes);
@@ -126,7 +126,7 @@
     }
     ++last_command_;
     replies_.emplace_back();
-    server_.handler_.Did(Action::kRead);
+    server_.handler_.Did(Action::kReadCommand);
     Run(reader_.command());
     command_since_ = server_.loop_.Now();
   }
--- a/src/net/resp_server.cpp
+++ b/src/net/resp_server.cpp
@@ -72,7 +72,7 @@
 
 // False where nobody waits, or there is no room and none can be made; then who waits is taken later.
 bool RespServer::AdmitOne() {
-  if (!listener_.open() || !handler_.May(Action::kAdmit)) return false;
+  if (!listener_.open() || !handler_.May(Action::kAcceptClient)) return false;
   if (connections_.size() >= limits_.connections && !MakeRoom()) return AdmitLater(), false;
   int client = listener_.Accept();
   // The system has no descriptor left, whatever the limits say: one of a client that gives way is free then.
@@ -83,7 +83,7 @@
   const int error = connection->Begin(client);
   const std::uint64_t id = connection->id();
   connections_.emplace(id, std::move(connection));
-  handler_.Did(Action::kAdmit);
+  handler_.Did(Action::kAcceptClient);
   if (error != 0) Drop(id, ClientEnd::kBroke);
   return true;
 }
@@ -97,7 +97,7 @@
 // Closes who gives way most readily, the longest quiet of these, at once: its descriptor is needed before
 // this pass of the loop is over. False where nobody does.
 bool RespServer::MakeRoom() {
-  if (!handler_.May(Action::kClose)) return false;
+  if (!handler_.May(Action::kCloseClient)) return false;
   const Micros now = loop_.Now();
   std::set<std::uint64_t> busy;  // looked as if they gave way, but have sent something
   while (true) {
@@ -115,7 +115,7 @@
       busy.insert(id);
       continue;
     }
-    handler_.Did(Action::kClose);
+    handler_.Did(Action::kCloseClient);
     best->second->Bury();
     const std::uint64_t commands = best->second->commands();
     const Micros lasted = now - best->second->since();
@@ -127,7 +127,7 @@
 
 void RespServer::Sweep() {
   sweep_.Start(kSweepEvery);
-  if (!handler_.May(Action::kClose)) return;
+  if (!handler_.May(Action::kCloseClient)) return;
   const Micros now = loop_.Now();
   std::vector<std::uint64_t> all;
   all.reserve(connections_.size());
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -79,7 +79,7 @@
 void Node::OnNoticeUnreadable(std::string_view line) { log_.Write(base::kNoticeUnreadable, line); }
 
 Action Node::CallAction(const state::Owed& owed) {
-  return owed.past.attempts > 1 ? Action::kRepeat : Action::kBegin;
+  return owed.past.attempts > 1 ? Action::kRepeatCall : Action::kBeginFirstCall;
 }
 
 // Before a call's first byte: what binds it still, and its record on the disk.
--- a/src/node/node_figures.cpp
+++ b/src/node/node_figures.cpp
@@ -50,7 +50,7 @@
       pool_.written(), state_.open(), state_.listed.size(), unavailable, changes_.reloads(),
       changes_.reload_errors(), brain_->slow_start().recovering, brain_->slow_start().calls, WatchLosses(),
       std::accumulate(lifecycle_.denied().begin(), lifecycle_.denied().end(), std::uint64_t{0}),
-      lifecycle_.breaks());
+      lifecycle_.violations());
   return out + ConnectionFigures();
 }
 
@@ -76,7 +76,7 @@
        {{"phase", NameOf(lifecycle_.phase())},
         {"standby", lifecycle_.standby()},
         {"denied", CountsByName<Action>(lifecycle_.denied())},
-        {"breaks", lifecycle_.breaks()}}},
+        {"breaks", lifecycle_.violations()}}},
       {"waits_to_take_over", successor_},
       {"classes", classes},
       {"address", server_.address()},
--- a/src/node/node_journals.cpp
+++ b/src/node/node_journals.cpp
@@ -76,7 +76,7 @@
   ShareRoom(true);
   lifecycle_.SetStandby(true);
   TellCallsEnd();
-  standby_timer_.Start(Lifecycle::kStandby);
+  standby_timer_.Start(Lifecycle::kStandbyLimit);
 }
 
 void Node::LookForOthers() { claim_timer_.Start(kClaimEvery); }
@@ -84,7 +84,7 @@
 // The process before this one has ended once its lock is free; what it still owed is resumed here. An owner
 // looks whether a successor has come.
 void Node::TryClaim() {
-  if (successor_ && !May(Action::kHandOver)) return;
+  if (successor_ && !May(Action::kTakeOver)) return;
   LookForOthers();
   if (!successor_) {
     ShareRoom(journal_.HasSuccessor());
@@ -97,7 +97,7 @@
     log_.Write(base::kFolderUnusable, config_.state_folder, trouble);
     return claim_timer_.Start(kReadAgain);
   }
-  Did(Action::kHandOver);
+  Did(Action::kTakeOver);
   successor_ = false;
   rules_.TakeOver(loop_.Now());
   if (!rules_.known()) log_.Write(base::kRulesUnknown, config_.state_folder);
--- a/src/node/node_operations.cpp
+++ b/src/node/node_operations.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 void Node::Reload() {
-  if (!May(Action::kReload)) return log_.Write(base::kReloadIgnored, NameOf(lifecycle_.phase()));
+  if (!May(Action::kReloadConfiguration)) return log_.Write(base::kReloadIgnored, NameOf(lifecycle_.phase()));
   changes_.Reload();
 }
 
@@ -38,7 +38,7 @@
 // Called from the loop, never from within a turn. The turn that it runs brings the whole in force: the
 // reducer, the module, and what the module does about it.
 void Node::Adopt(Config next) {
-  Did(Action::kReload);
+  Did(Action::kReloadConfiguration);
   const std::string from = config_.discovery;
   LogRuleChanges(next);
   config_ = WithinDescriptors(std::move(next), config_.sockets);
@@ -102,7 +102,7 @@
   const json request = json::parse(line, nullptr, false);
   if (!request.is_object()) return answer({{"ok", false}, {"text", "expected one JSON object"}});
   if (request.value("op", json()) == json("status")) return answer(Status());
-  if (lifecycle_.stopping() && !May(Action::kReload))
+  if (lifecycle_.stopping() && !May(Action::kReloadConfiguration))
     return answer({{"ok", false}, {"text", "the node is stopping"}});
   if (!changes_.Request(request, answer)) answer({{"ok", false}, {"text", "unknown op"}});
 }
@@ -155,7 +155,7 @@
 }
 
 void Node::LetQuietGo() {
-  if (lifecycle_.phase() != Phase::kQuiesced || !May(Action::kDismiss)) return;
+  if (lifecycle_.phase() != Phase::kQuiesced || !May(Action::kDisconnectClients)) return;
   server_.CloseQuiet(false);
   quiet_timer_.Start(kLetGoEvery);
 }
--- a/src/node/node_stop.cpp
+++ b/src/node/node_stop.cpp
@@ -27,14 +27,14 @@
 void Node::OnPhase(const PhaseChange& change) {
   const ActionCounts& done = change.done;
   log_.Write(base::kPhaseEntered, NameOf(change.from), NameOf(change.to), NameOf(change.cause), change.lasted,
-             change.since_signal, CountOf(done, Action::kAdmit), CountOf(done, Action::kRead),
-             CountOf(done, Action::kTake), CountOf(change.denied, Action::kTake),
-             CountOf(done, Action::kBegin), CountOf(done, Action::kRepeat), CountOf(done, Action::kNotice),
-             std::exchange(clients_ended_in_phase_, 0), CountsByName<Action>(change.denied), state_.open(),
-             server_.connections(), pool_.calls());
+             change.since_signal, CountOf(done, Action::kAcceptClient), CountOf(done, Action::kReadCommand),
+             CountOf(done, Action::kAcceptMessage), CountOf(change.denied, Action::kAcceptMessage),
+             CountOf(done, Action::kBeginFirstCall), CountOf(done, Action::kRepeatCall),
+             CountOf(done, Action::kSendNotice), std::exchange(clients_ended_in_phase_, 0),
+             CountsByName<Action>(change.denied), state_.open(), server_.connections(), pool_.calls());
   stepped_in_phase_ = false;
   passes_since_step_ = 0;
-  if (change.to == Phase::kRefusing) changes_.Freeze();
+  if (change.to == Phase::kRejecting) changes_.Freeze();
   if (lifecycle_.stopping() && change.to != Phase::kEnded) TellCallsEnd();
 }
 
@@ -73,24 +73,24 @@
   lifecycle_.Advance(loop_.Now());
   stop_timer_.Start(kStopStep);
   if (!std::exchange(stepped_in_phase_, true)) passes_since_step_ = 0;
-  if (lifecycle_.phase() == Phase::kLeaving) LeaveClients();
-  if (lifecycle_.phase() == Phase::kRefusing) RefuseClients();
+  if (lifecycle_.phase() == Phase::kDisconnecting) LeaveClients();
+  if (lifecycle_.phase() == Phase::kRejecting) RefuseClients();
   if (lifecycle_.phase() == Phase::kClosing) CloseDown();
 }
 
 // The listener stays open meanwhile, so that a client whose request crosses the end of its connection finds
 // the node once more; not beside a successor, which listens as well.
 void Node::LeaveClients() {
-  Did(Action::kDismiss);
+  Did(Action::kDisconnectClients);
   const bool closed = lifecycle_.handing_over() && server_.StopListening();
   const bool none_left = server_.CloseQuiet(lifecycle_.handing_over());
-  if (closed && none_left && events_.empty()) lifecycle_.AllDismissed(loop_.Now());
+  if (closed && none_left && events_.empty()) lifecycle_.AllClientsDone(loop_.Now());
 }
 
 // Whoever has been heard of gets an answer and the end. Time cuts nobody off before a whole pass has read
 // what lay there as intake ended, however late that pass is.
 void Node::RefuseClients() {
-  Did(Action::kDismiss);
+  Did(Action::kDisconnectClients);
   discovery_.reset();  // no call begins any more
   arriving_.reset();
   const Micros now = loop_.Now();
@@ -101,21 +101,21 @@
   const bool told = server_.Refuse(last_call     ? net::RefusalPace::kLastCall
                                    : out_of_time ? net::RefusalPace::kOutOfTime
                                                  : net::RefusalPace::kReadFirst);
-  if (closed && told && events_.empty()) lifecycle_.AllDismissed(loop_.Now());
+  if (closed && told && events_.empty()) lifecycle_.AllClientsDone(loop_.Now());
 }
 
 void Node::CloseDown() {
   pool_.EndUnstarted();
   const bool told = lifecycle_.handing_over() || state_.notices.empty();
   const bool nothing_left = server_.connections() == 0 && pool_.calls() == 0 && told && events_.empty();
-  if (nothing_left) return Finish(PhaseCause::kNothingLeft);
+  if (nothing_left) return Finish(PhaseCause::kNothingInFlight);
   if (lifecycle_.MustEnd(loop_.Now()) && passes_since_step_ > 0) Finish(PhaseCause::kOutOfTime);
 }
 
 void Node::Finish(PhaseCause cause) {
   RunTurn();  // what has come by now goes on record, and what that has denied
   if (!events_.empty()) RunTurn();
-  if (!May(Action::kEnd)) return;
+  if (!May(Action::kEndProcess)) return;
   Report();
   log_.Write(base::kStopped, state_.open(), state_.notices.size());
   lifecycle_.End(cause, loop_.Now());
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -53,7 +53,7 @@
   for (state::Event& event : std::exchange(events_, {})) {
     auto* message = std::get_if<state::ClientMessage>(&event);
     // Once granted it holds for the turn: its +OK comes behind all of the turn's events.
-    if (message != nullptr) message->may_take = may_take = may_take || May(Action::kTake);
+    if (message != nullptr) message->may_take = may_take = may_take || May(Action::kAcceptMessage);
     Reduce(event);
     // A client that has closed meanwhile has withdrawn, though the loop has not read that yet.
     if (message != nullptr && server_.Gone(message->client.connection)) {
@@ -136,7 +136,7 @@
   turn_timer_.Start(std::max(Micros(0), wake_at_ - loop_.Now()));
 }
 void Node::Do(state::RenewWatch&) {
-  if (May(Action::kWatch)) discovery_->Renew();
+  if (May(Action::kWatchDiscovery)) discovery_->Renew();
 }
 void Node::Do(state::CloseIdle& e) { pool_.CloseIdle(e.endpoint); }
 void Node::Do(state::Note& e) { log_.Write(base::kResumed, e.text); }
@@ -152,7 +152,7 @@
     const auto millis = std::chrono::ceil<milliseconds>(e.not_before).count();
     line = millis > 0 ? fmt::format("-BUSY {}\r\n", millis) : "-BUSY\r\n";
   }
-  if (e.answer == state::Answer::kTaken && e.refusal == state::Refusal::kNone) Did(Action::kTake);
+  if (e.answer == state::Answer::kTaken && e.refusal == state::Refusal::kNone) Did(Action::kAcceptMessage);
   ++(e.answer == state::Answer::kTaken ? taken_ : e.answer == state::Answer::kBusy ? busy_ : failed_);
   if (e.answer != state::Answer::kTaken && !e.message_class.empty()) {
     ClassFigures& figures = by_class_[e.message_class];
@@ -181,8 +181,8 @@
 }
 
 void Node::Do(state::PostNotices& e) {
-  if (!May(Action::kNotice)) return;
-  Did(Action::kNotice);
+  if (!May(Action::kSendNotice)) return;
+  Did(Action::kSendNotice);
   std::vector<net::NoticeLine> lines;
   for (const state::Notice& notice : e.notices) {
     lines.push_back({notice.serial, notice.end == state::End::kReturned
--- a/tests/brain_lifecycle_test.cpp
+++ b/tests/brain_lifecycle_test.cpp
@@ -25,22 +25,23 @@
   }
 
   std::vector<PhaseChange> changes;
-  std::vector<std::pair<Phase, Action>> breaks;
+  std::vector<std::pair<Phase, Action>> violations;
   Lifecycle lifecycle{kStart, [this](const PhaseChange& change) { changes.push_back(change); },
-                      [this](Phase phase, Action action) { breaks.emplace_back(phase, action); }};
+                      [this](Phase phase, Action action) { violations.emplace_back(phase, action); }};
 };
 
 // Guards against intake behind its end: whoever asks late is denied, whether or not a timer has run.
 TEST_F(LifecycleTest, TheClockAloneEndsIntake) {
   Serve();
   Stop(kStart);
-  EXPECT_TRUE(lifecycle.May(Action::kTake, kStart + Lifecycle::kRefuseAfter - milliseconds(1)));
-  EXPECT_EQ(lifecycle.phase(), Phase::kLeaving);
-  for (const Action action : {Action::kTake, Action::kBegin, Action::kRepeat, Action::kReload})
-    EXPECT_FALSE(lifecycle.May(action, kStart + Lifecycle::kRefuseAfter)) << NameOf(action);
-  EXPECT_EQ(lifecycle.phase(), Phase::kRefusing);
-  EXPECT_TRUE(lifecycle.May(Action::kRead, kStart + Lifecycle::kRefuseAfter));
-  EXPECT_TRUE(lifecycle.May(Action::kNotice, kStart + Lifecycle::kRefuseAfter));
+  EXPECT_TRUE(lifecycle.May(Action::kAcceptMessage, kStart + Lifecycle::kRejectAfter - milliseconds(1)));
+  EXPECT_EQ(lifecycle.phase(), Phase::kDisconnecting);
+  for (const Action action :
+       {Action::kAcceptMessage, Action::kBeginFirstCall, Action::kRepeatCall, Action::kReloadConfiguration})
+    EXPECT_FALSE(lifecycle.May(action, kStart + Lifecycle::kRejectAfter)) << NameOf(action);
+  EXPECT_EQ(lifecycle.phase(), Phase::kRejecting);
+  EXPECT_TRUE(lifecycle.May(Action::kReadCommand, kStart + Lifecycle::kRejectAfter));
+  EXPECT_TRUE(lifecycle.May(Action::kSendNotice, kStart + Lifecycle::kRejectAfter));
 }
 
 // Guards against a stop that time alone carries on: closing and the end come with what has ended.
@@ -48,26 +49,26 @@
   Serve();
   Stop(kStart);
   lifecycle.Advance(kStart + seconds(60));
-  EXPECT_EQ(lifecycle.phase(), Phase::kRefusing);
+  EXPECT_EQ(lifecycle.phase(), Phase::kRejecting);
   lifecycle.Advance(kStart + seconds(61));
-  EXPECT_EQ(lifecycle.phase(), Phase::kRefusing);
-  EXPECT_FALSE(lifecycle.May(Action::kEnd, kStart + seconds(61)));
-  lifecycle.AllDismissed(kStart + seconds(61));
+  EXPECT_EQ(lifecycle.phase(), Phase::kRejecting);
+  EXPECT_FALSE(lifecycle.May(Action::kEndProcess, kStart + seconds(61)));
+  lifecycle.AllClientsDone(kStart + seconds(61));
   EXPECT_EQ(lifecycle.phase(), Phase::kClosing);
-  EXPECT_TRUE(lifecycle.May(Action::kEnd, kStart + seconds(61)));
-  lifecycle.End(PhaseCause::kNothingLeft, kStart + seconds(61));
+  EXPECT_TRUE(lifecycle.May(Action::kEndProcess, kStart + seconds(61)));
+  lifecycle.End(PhaseCause::kNothingInFlight, kStart + seconds(61));
   for (std::size_t i = 0; i < kActions; ++i)
     EXPECT_FALSE(lifecycle.May(static_cast<Action>(i), kStart + seconds(62)))
         << NameOf(static_cast<Action>(i));
-  EXPECT_TRUE(breaks.empty());
+  EXPECT_TRUE(violations.empty());
 }
 
 // Guards against too little room: six hold-ups in a row behind intake, three behind the end, before the kill.
 TEST_F(LifecycleTest, IntakeAndEndLeaveRoomForHoldUpsInARow) {
   constexpr Micros kEarliestKill = milliseconds(3700), kHoldUp = milliseconds(150);
-  EXPECT_LE(Lifecycle::kRefuseAfter + 6 * kHoldUp, kEarliestKill);
+  EXPECT_LE(Lifecycle::kRejectAfter + 6 * kHoldUp, kEarliestKill);
   EXPECT_LE(Lifecycle::kEndAfter + 3 * kHoldUp, kEarliestKill);
-  EXPECT_LT(Lifecycle::kLeaveAfter, Lifecycle::kRefuseAfter);
+  EXPECT_LT(Lifecycle::kDisconnectAfter, Lifecycle::kRejectAfter);
   EXPECT_LT(Lifecycle::kCloseAfter, Lifecycle::kEndAfter);
 }
 
@@ -75,14 +76,14 @@
 TEST_F(LifecycleTest, AStopCountsFromItsSignal) {
   Serve();
   lifecycle.Stop(kStart, kStart + milliseconds(450));
-  EXPECT_FALSE(lifecycle.May(Action::kTake, kStart + Lifecycle::kRefuseAfter));
+  EXPECT_FALSE(lifecycle.May(Action::kAcceptMessage, kStart + Lifecycle::kRejectAfter));
 }
 
 TEST_F(LifecycleTest, TheFirstOfSeveralStopsCounts) {
   Serve();
   Stop(kStart);
   lifecycle.Stop(kStart + seconds(1), kStart + seconds(1));
-  EXPECT_FALSE(lifecycle.May(Action::kTake, kStart + Lifecycle::kRefuseAfter));
+  EXPECT_FALSE(lifecycle.May(Action::kAcceptMessage, kStart + Lifecycle::kRejectAfter));
 }
 
 // Guards against a quiesce or resume that turns a stop back.
@@ -101,12 +102,12 @@
 TEST_F(LifecycleTest, OnStandbyNoCallBeginsButMessagesAreTaken) {
   lifecycle.SetStandby(true);
   Serve();
-  EXPECT_TRUE(lifecycle.May(Action::kTake, kStart));
-  EXPECT_FALSE(lifecycle.May(Action::kBegin, kStart));
-  EXPECT_FALSE(lifecycle.May(Action::kRepeat, kStart));
+  EXPECT_TRUE(lifecycle.May(Action::kAcceptMessage, kStart));
+  EXPECT_FALSE(lifecycle.May(Action::kBeginFirstCall, kStart));
+  EXPECT_FALSE(lifecycle.May(Action::kRepeatCall, kStart));
   EXPECT_EQ(lifecycle.CallsEndBy(kStart), kStart);
   lifecycle.SetStandby(false);
-  EXPECT_TRUE(lifecycle.May(Action::kBegin, kStart));
+  EXPECT_TRUE(lifecycle.May(Action::kBeginFirstCall, kStart));
   EXPECT_EQ(lifecycle.CallsEndBy(kStart), Micros::max());
 }
 
@@ -115,36 +116,36 @@
   Serve();
   Stop(kStart);
   lifecycle.HandOver(kStart + milliseconds(500));
-  EXPECT_EQ(lifecycle.phase(), Phase::kLeaving);
-  EXPECT_EQ(changes.back().cause, PhaseCause::kSuccessor);
-  const Micros over = kStart + milliseconds(500) + Lifecycle::kHandOverTakes;
-  EXPECT_TRUE(lifecycle.May(Action::kTake, over - milliseconds(1)));
-  EXPECT_FALSE(lifecycle.May(Action::kTake, over));
+  EXPECT_EQ(lifecycle.phase(), Phase::kDisconnecting);
+  EXPECT_EQ(changes.back().cause, PhaseCause::kSuccessorServes);
+  const Micros over = kStart + milliseconds(500) + Lifecycle::kHandOverIntake;
+  EXPECT_TRUE(lifecycle.May(Action::kAcceptMessage, over - milliseconds(1)));
+  EXPECT_FALSE(lifecycle.May(Action::kAcceptMessage, over));
 }
 
 // Guards against a break that goes unseen: it is counted and told; a denial is counted and none.
 TEST_F(LifecycleTest, WhatIsDoneAgainstTheTableIsABreak) {
   Serve();
-  EXPECT_FALSE(lifecycle.May(Action::kEnd, kStart));
-  EXPECT_EQ(lifecycle.breaks(), 0u);
-  EXPECT_EQ(lifecycle.denied()[static_cast<std::size_t>(Action::kEnd)], 1u);
-  lifecycle.Did(Action::kDismiss);
-  EXPECT_EQ(lifecycle.breaks(), 1u);
-  ASSERT_EQ(breaks.size(), 1u);
-  EXPECT_EQ(breaks[0], std::pair(Phase::kServing, Action::kDismiss));
+  EXPECT_FALSE(lifecycle.May(Action::kEndProcess, kStart));
+  EXPECT_EQ(lifecycle.violations(), 0u);
+  EXPECT_EQ(lifecycle.denied()[static_cast<std::size_t>(Action::kEndProcess)], 1u);
+  lifecycle.Did(Action::kDisconnectClients);
+  EXPECT_EQ(lifecycle.violations(), 1u);
+  ASSERT_EQ(violations.size(), 1u);
+  EXPECT_EQ(violations[0], std::pair(Phase::kServing, Action::kDisconnectClients));
 }
 
 // Guards against counts of one phase in the line of the next.
 TEST_F(LifecycleTest, EachPhaseTellsWhatWasDoneAndDeniedInIt) {
   Serve();
-  lifecycle.Did(Action::kTake);
-  lifecycle.Did(Action::kTake);
+  lifecycle.Did(Action::kAcceptMessage);
+  lifecycle.Did(Action::kAcceptMessage);
   Stop(kStart + seconds(1));
-  EXPECT_EQ(changes.back().done[static_cast<std::size_t>(Action::kTake)], 2u);
+  EXPECT_EQ(changes.back().done[static_cast<std::size_t>(Action::kAcceptMessage)], 2u);
   EXPECT_EQ(changes.back().lasted, seconds(1));
   lifecycle.Advance(kStart + seconds(9));
-  EXPECT_EQ(changes.back().done[static_cast<std::size_t>(Action::kTake)], 0u);
-  EXPECT_EQ(Entered(), (std::vector<Phase>{Phase::kServing, Phase::kDraining, Phase::kRefusing}));
+  EXPECT_EQ(changes.back().done[static_cast<std::size_t>(Action::kAcceptMessage)], 0u);
+  EXPECT_EQ(Entered(), (std::vector<Phase>{Phase::kServing, Phase::kDraining, Phase::kRejecting}));
 }
 
 }  // namespace
