--- a/src/brain/repeat_rules.cpp
+++ b/src/brain/repeat_rules.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 // Senders go by new settings 1.2 s behind the node; the rest is for a node or a sender that was held up.
-constexpr Micros kSendersLearnWithin = std::chrono::seconds(3);
-constexpr std::size_t kMostSpans = 16;  // of a class: more are merged, the oldest first
+constexpr Micros kSenderSettingsDelay = std::chrono::seconds(3);
+constexpr std::size_t kMaxSpans = 16;  // of a class: more are merged, the oldest first
 
 Micros LongestDeadline(const std::vector<RuleSpan>& spans) {
   Micros longest(0);
@@ -19,15 +19,15 @@
 bool InForce(const RuleSpan& span) { return span.until == Micros::max(); }
 
 // Whether a sender may have written a message under it at `birth` or later.
-bool MayBind(const RuleSpan& span, Micros birth) {
-  return InForce(span) || span.until + kSendersLearnWithin > birth;
+bool MayApply(const RuleSpan& span, Micros birth) {
+  return InForce(span) || span.until + kSenderSettingsDelay > birth;
 }
 
 // The message is at the most so old when its hand-in begins. Where its time left says nothing, any age that
 // its class allows.
-Micros MostAge(const HandIn& hand_in, Micros longest) {
-  if (hand_in.handed_in_before || hand_in.time_left > longest) return longest;
-  return longest - hand_in.time_left;
+Micros MaxAge(const EnqueueFacts& enqueue, Micros longest) {
+  if (enqueue.enqueued_before || enqueue.time_left > longest) return longest;
+  return longest - enqueue.time_left;
 }
 
 RuleSpan Merged(const RuleSpan& a, const RuleSpan& b) {
@@ -47,13 +47,13 @@
   return both;
 }
 
-void RuleHistory::Begin(const Classes& classes, Micros now, Before before) {
+void RuleHistory::Begin(const Classes& classes, Micros now, PriorRules prior) {
   spans_.clear();
   Change(classes, now);
-  if (before == Before::kUnknown) Doubt(now);
+  if (prior == PriorRules::kUnknown) AssumeStrictestBefore(now);
 }
 
-void RuleHistory::Doubt(Micros now) {
+void RuleHistory::AssumeStrictestBefore(Micros now) {
   for (auto& [name, spans] : spans_)
     spans.insert(spans.begin(), RuleSpan{kStrictestRules, LongestDeadline(spans), now});
   Prune(now);
@@ -100,29 +100,31 @@
   Prune(now);
 }
 
-BirthRules RuleHistory::RulesFor(const std::string& message_class, const HandIn& hand_in) const {
+ApplicableRules RuleHistory::RulesFor(const std::string& message_class, const EnqueueFacts& enqueue) const {
   const auto known = spans_.find(message_class);
   if (known == spans_.end() || known->second.empty()) return {kStrictestRules, false};
   const std::vector<RuleSpan>& spans = known->second;
-  const Micros birth = hand_in.begun - MostAge(hand_in, LongestDeadline(spans));
-  BirthRules born{Strictest(spans.back().rules, spans.back().rules), true};
+  const Micros birth = enqueue.received_at - MaxAge(enqueue, LongestDeadline(spans));
+  ApplicableRules applicable{Strictest(spans.back().rules, spans.back().rules), true};
   for (const RuleSpan& span : spans) {
-    if (!MayBind(span, birth)) continue;
-    const RepeatRules both = Strictest(born.rules, span.rules);
-    born.sure = born.sure && both == born.rules && both == Strictest(span.rules, span.rules);
-    born.rules = both;
+    if (!MayApply(span, birth)) continue;
+    const RepeatRules both = Strictest(applicable.rules, span.rules);
+    applicable.sure =
+        applicable.sure && both == applicable.rules && both == Strictest(span.rules, span.rules);
+    applicable.rules = both;
   }
   // Its sender gave no key that receivers could know it by: it was not written under rules that use one.
-  if (born.rules.effect == Effect::kKeyed && !hand_in.has_key) born.rules.effect = Effect::kUnsafe;
-  return born;
+  if (applicable.rules.effect == Effect::kKeyed && !enqueue.has_key)
+    applicable.rules.effect = Effect::kUnsafe;
+  return applicable;
 }
 
 // Drops what can bind no message any more, and bounds what a flood of changes leaves.
 void RuleHistory::Prune(Micros now) {
   for (auto& [name, spans] : spans_) {
     const Micros oldest_birth = now - LongestDeadline(spans);
-    std::erase_if(spans, [&](const RuleSpan& span) { return !MayBind(span, oldest_birth); });
-    while (spans.size() > kMostSpans && !InForce(spans[0]) && !InForce(spans[1])) {
+    std::erase_if(spans, [&](const RuleSpan& span) { return !MayApply(span, oldest_birth); });
+    while (spans.size() > kMaxSpans && !InForce(spans[0]) && !InForce(spans[1])) {
       spans[1] = Merged(spans[0], spans[1]);
       spans.erase(spans.begin());
     }
--- a/src/brain/repeat_rules.h
+++ b/src/brain/repeat_rules.h
@@ -31,20 +31,20 @@
 };
 
 // What a hand-in tells of its message's birth.
-struct HandIn {
-  Micros begun{0};                // the first byte of its command
-  Micros time_left{0};            // from then
-  bool handed_in_before = false;  // to this node or another
-  bool has_key = false;           // an idempotency key
+struct EnqueueFacts {
+  Micros received_at{0};         // the first byte of its command
+  Micros time_left{0};           // from then
+  bool enqueued_before = false;  // to this node or another
+  bool has_key = false;          // an idempotency key
 };
 
-struct BirthRules {
+struct ApplicableRules {
   RepeatRules rules;
   bool sure = true;  // false: several may apply, these are the strictest
 };
 
 // What was in force before a process began: nothing, which is so at a folder's first start; or not known.
-enum class Before { kNothing, kUnknown };
+enum class PriorRules { kNone, kUnknown };
 
 class RuleHistory {
  public:
@@ -52,7 +52,7 @@
   using Spans = std::map<std::string, std::vector<RuleSpan>>;  // by class
 
   // The first settings of a process that finds no history.
-  void Begin(const Classes& classes, Micros now, Before before);
+  void Begin(const Classes& classes, Micros now, PriorRules prior);
   // Takes up what an earlier process saved. In force is what Change says next.
   void Restore(Spans spans, Micros now);
   // These classes are in force from now on. False where nothing changed.
@@ -60,9 +60,9 @@
   // Another process's history of the same node, up to now.
   void Merge(const Spans& spans, Micros now);
   // Up to now other rules may have been in force than are known here: the strictest bind what may be older.
-  void Doubt(Micros now);
+  void AssumeStrictestBefore(Micros now);
 
-  BirthRules RulesFor(const std::string& message_class, const HandIn& hand_in) const;
+  ApplicableRules RulesFor(const std::string& message_class, const EnqueueFacts& enqueue) const;
   const Spans& spans() const { return spans_; }
 
  private:
--- a/src/node/message_rules.cpp
+++ b/src/node/message_rules.cpp
@@ -88,7 +88,7 @@
     history_.Restore(std::move(spans), now);
     history_.Change(ClassesOf(config), now);
   } else {
-    history_.Begin(ClassesOf(config), now, known_ ? Before::kNothing : Before::kUnknown);
+    history_.Begin(ClassesOf(config), now, known_ ? PriorRules::kNone : PriorRules::kUnknown);
   }
   saved_ = false;
 }
@@ -103,7 +103,7 @@
   if (known_) {
     history_.Merge(spans, now);
   } else {
-    history_.Doubt(now);
+    history_.AssumeStrictestBefore(now);
   }
   saved_ = false;
 }
--- a/src/node/message_rules.h
+++ b/src/node/message_rules.h
@@ -21,7 +21,7 @@
   void TakeOver(Micros now);
   bool Save();  // where it failed it may be called again; true where there is nothing to save
 
-  BirthRules RulesFor(const std::string& message_class, const HandIn& hand_in) const {
+  ApplicableRules RulesFor(const std::string& message_class, const EnqueueFacts& hand_in) const {
     return history_.RulesFor(message_class, hand_in);
   }
   // Nothing was missing or damaged at the start, or at the take-over since.
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -15,9 +15,9 @@
   if (!enqueue.tenant.empty() && !config_.tenants.contains(enqueue.tenant)) {
     return server_.Reply(connection, command, "-ERR unknown tenant\r\n");
   }
-  const HandIn hand_in{enqueue.begun, enqueue.time_left, enqueue.handed_in_before,
-                       !enqueue.idempotency_key.empty()};
-  const BirthRules born = rules_.RulesFor(enqueue.message_class, hand_in);
+  const EnqueueFacts hand_in{enqueue.begun, enqueue.time_left, enqueue.handed_in_before,
+                             !enqueue.idempotency_key.empty()};
+  const ApplicableRules born = rules_.RulesFor(enqueue.message_class, hand_in);
   if (!born.sure) {
     ++unsure_rules_;
     log_.Write(base::kRulesUnsure, enqueue.id, enqueue.message_class, Describe(born.rules));
--- a/tests/brain_repeat_rules_test.cpp
+++ b/tests/brain_repeat_rules_test.cpp
@@ -24,8 +24,8 @@
 
 class RuleHistoryTest : public ::testing::Test {
  protected:
-  void Begin(const RepeatRules& rules) { history.Begin(One(rules), kStart, Before::kNothing); }
-  RepeatRules Born(Micros at, Micros left = kDeadline, bool again = false, bool key = true) const {
+  void Begin(const RepeatRules& rules) { history.Begin(One(rules), kStart, PriorRules::kNone); }
+  RepeatRules RulesOf(Micros at, Micros left = kDeadline, bool again = false, bool key = true) const {
     return history.RulesFor("notice", {at, left, again, key}).rules;
   }
   RuleHistory history;
@@ -33,7 +33,7 @@
 
 TEST_F(RuleHistoryTest, WithoutAChangeTheRulesAreSureWhateverTheAge) {
   Begin(kUnsafeRules);
-  EXPECT_EQ(Born(kStart), kUnsafeRules);
+  EXPECT_EQ(RulesOf(kStart), kUnsafeRules);
   EXPECT_TRUE(history.RulesFor("notice", {kStart, seconds(1), true, true}).sure);
   EXPECT_FALSE(history.RulesFor("other", {kStart, seconds(1), true, true}).sure);
 }
@@ -42,30 +42,30 @@
   Begin(kUnsafeRules);
   ASSERT_TRUE(history.Change(One(kSafeRules), kStart + seconds(10)));
   const Micros change = kStart + seconds(10);
-  EXPECT_EQ(Born(change + milliseconds(1200)), kUnsafeRules);
-  EXPECT_EQ(Born(change + milliseconds(2900)), kUnsafeRules);
-  EXPECT_EQ(Born(change + milliseconds(3100)), kSafeRules);
-  EXPECT_EQ(Born(change + milliseconds(3100), seconds(7)), kUnsafeRules);  // 1 s old
-  EXPECT_EQ(Born(change + milliseconds(4100), seconds(7)), kSafeRules);
-  EXPECT_EQ(Born(change + seconds(10), seconds(8), true), kUnsafeRules);  // handed in before: any age
-  EXPECT_EQ(Born(change + seconds(10), seconds(60)), kUnsafeRules);       // more than its class allows
-  EXPECT_EQ(Born(change + milliseconds(11100), seconds(1), true), kSafeRules);
+  EXPECT_EQ(RulesOf(change + milliseconds(1200)), kUnsafeRules);
+  EXPECT_EQ(RulesOf(change + milliseconds(2900)), kUnsafeRules);
+  EXPECT_EQ(RulesOf(change + milliseconds(3100)), kSafeRules);
+  EXPECT_EQ(RulesOf(change + milliseconds(3100), seconds(7)), kUnsafeRules);  // 1 s old
+  EXPECT_EQ(RulesOf(change + milliseconds(4100), seconds(7)), kSafeRules);
+  EXPECT_EQ(RulesOf(change + seconds(10), seconds(8), true), kUnsafeRules);  // handed in before: any age
+  EXPECT_EQ(RulesOf(change + seconds(10), seconds(60)), kUnsafeRules);       // more than its class allows
+  EXPECT_EQ(RulesOf(change + milliseconds(11100), seconds(1), true), kSafeRules);
   EXPECT_FALSE(history.Change(One(kSafeRules), change + seconds(1)));
 }
 
 TEST_F(RuleHistoryTest, ATighteningBindsAtOnce) {
   Begin(kSafeRules);
   history.Change(One(kUnsafeRules), kStart);
-  EXPECT_EQ(Born(kStart), kUnsafeRules);
-  EXPECT_EQ(Born(kStart - milliseconds(5)), kUnsafeRules);  // its first bytes came before
+  EXPECT_EQ(RulesOf(kStart), kUnsafeRules);
+  EXPECT_EQ(RulesOf(kStart - milliseconds(5)), kUnsafeRules);  // its first bytes came before
 }
 
 // The age is judged by the longest deadline, old or new.
 TEST_F(RuleHistoryTest, AShorterDeadlineHidesNoAge) {
   Begin(kUnsafeRules);
   history.Change(One(kSafeRules, seconds(2)), kStart);
-  EXPECT_EQ(Born(kStart + seconds(5), seconds(2)), kUnsafeRules);
-  EXPECT_EQ(Born(kStart + milliseconds(9100), seconds(2)), kSafeRules);
+  EXPECT_EQ(RulesOf(kStart + seconds(5), seconds(2)), kUnsafeRules);
+  EXPECT_EQ(RulesOf(kStart + milliseconds(9100), seconds(2)), kSafeRules);
 }
 
 TEST_F(RuleHistoryTest, ThreeChangesWithinASecondAndAnUndoLeaveTheStrictestOfAll) {
@@ -73,28 +73,28 @@
   history.Change(One(kKeyedRules), kStart + milliseconds(300));
   history.Change(One({Effect::kKeyed, Group::kZone, seconds(30), true}), kStart + milliseconds(600));
   history.Change(One(kSafeRules), kStart + milliseconds(900));
-  EXPECT_EQ(Born(kStart + seconds(1)), (RepeatRules{Effect::kKeyed, Group::kZone, seconds(20), true}));
-  EXPECT_EQ(Born(kStart + seconds(4)), kSafeRules);
+  EXPECT_EQ(RulesOf(kStart + seconds(1)), (RepeatRules{Effect::kKeyed, Group::kZone, seconds(20), true}));
+  EXPECT_EQ(RulesOf(kStart + seconds(4)), kSafeRules);
 }
 
 TEST_F(RuleHistoryTest, AClassDroppedAndAddedAgainIsNoNewName) {
   Begin(kUnsafeRules);
   history.Change({}, kStart + seconds(1));
   history.Change(One(kSafeRules), kStart + seconds(2));
-  EXPECT_EQ(Born(kStart + seconds(3)), kUnsafeRules);
-  EXPECT_EQ(Born(kStart + seconds(5)), kSafeRules);
+  EXPECT_EQ(RulesOf(kStart + seconds(3)), kUnsafeRules);
+  EXPECT_EQ(RulesOf(kStart + seconds(5)), kSafeRules);
 }
 
 TEST_F(RuleHistoryTest, AKeyedMessageWithoutAKeyMayNotBeRepeated) {
   Begin(kKeyedRules);
-  EXPECT_EQ(Born(kStart).effect, Effect::kKeyed);
-  EXPECT_EQ(Born(kStart, kDeadline, false, false).effect, Effect::kUnsafe);
+  EXPECT_EQ(RulesOf(kStart).effect, Effect::kKeyed);
+  EXPECT_EQ(RulesOf(kStart, kDeadline, false, false).effect, Effect::kUnsafe);
 }
 
 TEST_F(RuleHistoryTest, WhatIsNotKnownOfTheTimeBeforeIsTheStrictest) {
-  history.Begin(One(kSafeRules), kStart, Before::kUnknown);
-  EXPECT_EQ(Born(kStart + seconds(1)), kStrictestRules);
-  EXPECT_EQ(Born(kStart + seconds(4)), kSafeRules);
+  history.Begin(One(kSafeRules), kStart, PriorRules::kUnknown);
+  EXPECT_EQ(RulesOf(kStart + seconds(1)), kStrictestRules);
+  EXPECT_EQ(RulesOf(kStart + seconds(4)), kSafeRules);
 }
 
 TEST_F(RuleHistoryTest, ARestartGoesOnFromWhatWasSaved) {
@@ -116,12 +116,12 @@
 TEST_F(RuleHistoryTest, ASuccessorKnowsWhatTheProcessBeforeItChanged) {
   Begin(kSafeRules);  // the successor's own file
   RuleHistory before;
-  before.Begin(One(kUnsafeRules), kStart, Before::kNothing);
+  before.Begin(One(kUnsafeRules), kStart, PriorRules::kNone);
   history.Merge(before.spans(), kStart + seconds(1));
-  EXPECT_EQ(Born(kStart + seconds(2)), kUnsafeRules);
-  EXPECT_EQ(Born(kStart + seconds(5)), kSafeRules);
+  EXPECT_EQ(RulesOf(kStart + seconds(2)), kUnsafeRules);
+  EXPECT_EQ(RulesOf(kStart + seconds(5)), kSafeRules);
   EXPECT_TRUE(history.Change(One(kUnsafeRules), kStart + seconds(6)));
-  EXPECT_EQ(Born(kStart + seconds(6)), kUnsafeRules);
+  EXPECT_EQ(RulesOf(kStart + seconds(6)), kUnsafeRules);
 }
 
 TEST_F(RuleHistoryTest, AFloodOfChangesIsBoundedAndForgotten) {
@@ -130,7 +130,7 @@
     history.Change(One(i % 2 == 0 ? kUnsafeRules : kSafeRules), kStart + milliseconds(i));
   EXPECT_LE(history.spans().at("notice").size(), 16u);
   history.Change(One(kSafeRules), kStart + seconds(2));
-  EXPECT_EQ(Born(kStart + seconds(3)), kUnsafeRules);
+  EXPECT_EQ(RulesOf(kStart + seconds(3)), kUnsafeRules);
   history.Change(One(kKeyedRules), kStart + seconds(60));
   EXPECT_EQ(history.spans().at("notice").size(), 2u);
 }
