--- a/src/brain/connection_trust.cpp
+++ b/src/brain/connection_trust.cpp
@@ -20,7 +20,8 @@
   return facts.first_call_only ? DenialReason::kFirstCallOnly : DenialReason::kNone;
 }
 
-// A call that has not left whole has not run, whatever is said; only a refusal may come before that.
+// A call that was not sent completely has not run, whatever the answer says, so only a refusal is accepted
+// before that.
 DenialReason CheckAcceptAnswer(const ConnectionFacts& facts) {
   const bool first = facts.state == ConnectionState::kInFirstCall;
   if (!first && facts.state != ConnectionState::kInLaterCall) return DenialReason::kWrongState;
@@ -108,12 +109,12 @@
   std::erase_if(until_, [now](const auto& entry) { return entry.second <= now; });
   until_[endpoint] = now + kSuspectDuration;
   const Micros latest = now + kSuspectDuration - kCommonCauseWindow;
-  const auto of_late = std::count_if(until_.begin(), until_.end(),
-                                     [latest](const auto& entry) { return entry.second >= latest; });
-  if (static_cast<std::size_t>(of_late) < kSuspectsImplyingAll) return false;
-  const bool news = !AllSuspect(now);
+  const auto recent = std::count_if(until_.begin(), until_.end(),
+                                    [latest](const auto& entry) { return entry.second >= latest; });
+  if (static_cast<std::size_t>(recent) < kSuspectsImplyingAll) return false;
+  const bool newly_suspect = !AllSuspect(now);
   all_until_ = now + kSuspectDuration;
-  return news;
+  return newly_suspect;
 }
 
 bool SuspectEndpoints::IsSuspect(const EndpointId& endpoint, Micros now) const {
--- a/src/brain/connection_trust.h
+++ b/src/brain/connection_trust.h
@@ -1,9 +1,9 @@
-// What may be done with a connection to an endpoint, and whether an answer that comes on it is believed.
+// Decides what a connection to an endpoint may be used for, and whether an answer received on it is accepted.
 //
-// HTTP/1.1 numbers no answer: it belongs to a call by its place alone. What a peer says may come twice, late,
-// early or to nothing. So an answer counts for a call only where nothing else can still come on that
-// connection: on its first call, or behind a time of silence, at an endpoint that has said nothing unasked.
-// Deterministic: the caller brings the time and what it has seen.
+// HTTP/1.1 does not number answers: only its position assigns an answer to a call. A peer may send an answer
+// twice, late, early or without a call. So an answer counts for a call only where no other answer can still
+// arrive on that connection: on the connection's first call, or after a quiet period, and only if the
+// endpoint has sent no unsolicited data. Deterministic: the caller passes the time and its observations.
 #pragma once
 
 #include <array>
@@ -17,125 +17,145 @@
 
 namespace indigosaddle {
 
+// Where a connection stands.
 enum class ConnectionState : std::uint8_t {
-  kConnecting,
-  kFresh,        // up, and has carried nothing
-  kInFirstCall,  // nothing but this call's answer can come
-  kInLaterCall,
-  kReadingRest,  // the call is over, its answer's body is still coming
-  kSettling,     // answered, and not silent for long enough yet
-  kReusable,
+  kConnecting,   // not established yet
+  kFresh,        // established, and has carried no call
+  kInFirstCall,  // in its first call: only this call's answer can arrive
+  kInLaterCall,  // in a call after its first
+  kReadingRest,  // the call is over, the rest of its answer's body is still arriving
+  kSettling,     // answered, but the quiet period is not over yet
+  kReusable,     // quiet for long enough to carry another call
   kClosed,
 };
+
+// The state's text in the log and the status.
 std::string_view NameOf(ConnectionState state);
 
+// What a connection is about to be used for.
 enum class ConnectionUse : std::uint8_t {
-  kSendCall,      // write a call on it
-  kAcceptAnswer,  // end its call by what has come
-  kKeepOpen,      // keep it behind an answer
+  kSendCall,      // write a call to it
+  kAcceptAnswer,  // end its call with the answer received
+  kKeepOpen,      // keep it for later calls after an answer
 };
 
-// Why a connection may not be used so.
+// Why a connection may not be used for a purpose.
 enum class DenialReason : std::uint8_t {
-  kNone,
-  kWrongState,       // not in a state for it
-  kSettling,         // not silent for long enough
-  kSuspectEndpoint,  // its endpoint has said something unasked
-  kUnreadInput,      // bytes, or its end, lie there
-  kIdleTooLong,      // the other side may close it at any moment
-  kFirstCallOnly,    // the message may not be repeated: its call is the first of a connection
-  kEarlyAnswer,      // before the call's last byte had left
-  kTrailingBytes,    // more came with the answer
-  kMalformedAnswer,  // it can't be read to its end, or is cut: on a used connection it may be two halves
-  kWriteDelayed,     // bytes came between the look for them and the writing of the call
-  kNotDelivered,     // no delivery, on a used connection: the call's own answer may still be owed
+  kNone,             // the use is allowed
+  kWrongState,       // its state does not permit the use
+  kSettling,         // the quiet period after its last answer is not over
+  kSuspectEndpoint,  // its endpoint has sent unsolicited data
+  kUnreadInput,      // unread bytes, or its end, wait in the receive buffer
+  kIdleTooLong,      // the peer may close it at any moment
+  kFirstCallOnly,    // the message may not be repeated, so its call must be a connection's first
+  kEarlyAnswer,      // the answer began before the call's last byte had been sent
+  kTrailingBytes,    // more bytes followed the answer
+  kMalformedAnswer,  // unparsable or cut off: on a reused connection it may be parts of two answers
+  kWriteDelayed,     // bytes arrived between the check for unread input and the writing of the call
+  kNotDelivered,     // not a delivery, on a reused connection: the call's own answer may still come
   kAddressChanged,   // the endpoint has another address by now
-  kEndedByPeer,      // it closes, or says that it will
+  kEndedByPeer,      // the peer closes it, or announced that it will
 };
 constexpr std::size_t kDenialReasons = static_cast<std::size_t>(DenialReason::kEndedByPeer) + 1;
+
+// The reason's text in the log, the status and the metrics.
 std::string_view NameOf(DenialReason why);
 
-// What is known of a connection as it is to be used.
+// What is known of a connection at the moment when it is to be used.
 struct ConnectionFacts {
   ConnectionState state = ConnectionState::kClosed;
-  bool suspect_endpoint = false;
-  bool unread_input = false;     // something lies there
-  bool address_changed = false;  // its endpoint has another address by now
-  bool idle_too_long = false;    // idle for about as long as the other side allows
-  bool first_call_only = false;  // asked of by the call
-  // Of an answer.
-  bool request_sent = false;    // the call's last byte has left
-  bool answered_early = false;  // it began before that
-  bool refusal = false;         // it says that the call has not run
-  bool delivered = false;       // it says that the message is delivered
-  bool trailing_bytes = false;  // bytes behind it
-  bool malformed = false;       // its first line alone can be read
-  bool write_delayed = false;   // something lay there as the call was written
-  bool keep_alive = true;       // whole, readable, and the other side goes on
+  bool suspect_endpoint = false;  // see SuspectEndpoints
+  bool unread_input = false;      // unread bytes or its end wait in the receive buffer
+  bool address_changed = false;   // its endpoint has another address by now
+  bool idle_too_long = false;     // idle for about as long as the peer allows
+  bool first_call_only = false;   // the call may go out only as the first of a connection
+  // Known of an answer only.
+  bool request_sent = false;    // the call's last byte has been sent
+  bool answered_early = false;  // the answer began before that
+  bool refusal = false;         // the answer says that the call has not run
+  bool delivered = false;       // the answer says that the message is delivered
+  bool trailing_bytes = false;  // more bytes follow the answer
+  bool malformed = false;       // only its status line could be parsed
+  bool write_delayed = false;   // unread bytes waited when the call was written
+  bool keep_alive = true;       // the answer is complete and valid, and the peer keeps the connection open
 };
 
-// The one place where this is decided.
+// Returns why the connection may not be used so, or kNone if it may. All such decisions are made here.
 DenialReason CheckConnectionUse(const ConnectionFacts& facts, ConnectionUse use);
 
-// Whether a call goes out as the first of a connection only: what may not be repeated has no second way.
+// Whether a call of a message under these rules must be the first of a connection. True for a message that
+// may not be repeated: after a failure on a reused connection it could not be sent again.
 bool RequiresFreshConnection(const RepeatRules& rules);
 
-// The state of one connection.
+// Tracks the state of one connection. Owned by that connection.
 class ConnectionLifecycle {
  public:
-  // How long a connection has to be silent behind an answer before it carries another call. A copy that
-  // comes within it is met.
+  // How long a connection has to be quiet after an answer before it carries another call. A duplicate of the
+  // answer that arrives within it is detected.
   static constexpr Micros kQuietPeriod = std::chrono::milliseconds(300);
-  // From the look for unread bytes to the end of the writing: longer, and the look is taken again.
+  // How long the check for unread bytes holds good until the call is written. If writing ends later, the
+  // check is repeated.
   static constexpr Micros kUnreadCheckValidFor = std::chrono::milliseconds(1);
 
   explicit ConnectionLifecycle(Micros now) : since_(now), made_(now) {}
 
+  // Each records a transition at `now`.
   void MarkConnected(Micros now) { Enter(ConnectionState::kFresh, now); }
   void MarkCallStarted(Micros now);
   void MarkReadingRest(Micros now) { Enter(ConnectionState::kReadingRest, now); }
   void MarkAnswered(Micros now) { Enter(ConnectionState::kSettling, now); }
+  // The call was not sent after all.
   void MarkUnused(Micros now) {
     Enter(calls_ == 0 ? ConnectionState::kFresh : ConnectionState::kSettling, now);
   }
   void MarkClosed(Micros now) { Enter(ConnectionState::kClosed, now); }
 
+  // The state at `now`: kSettling becomes kReusable by time.
   ConnectionState At(Micros now) const;
+  // When the last recorded transition happened.
   Micros since() const { return since_; }
+  // Since the connection was created.
   Micros Age(Micros now) const { return now - made_; }
+  // Number of calls started on it.
   std::uint64_t calls() const { return calls_; }
 
  private:
-  void Enter(ConnectionState state, Micros now) { state_ = state, since_ = now; }
+  void Enter(ConnectionState state, Micros now) {
+    state_ = state;
+    since_ = now;
+  }
 
   ConnectionState state_ = ConnectionState::kConnecting;
-  Micros since_, made_;
+  Micros since_;
+  Micros made_;  // when the connection was created
   std::uint64_t calls_ = 0;
 };
 
-// Whether it speaks of the endpoint that an answer is not believed, or that bytes came, for this reason. A
-// spoilt answer is the endpoint's own fault and no other call's answer.
+// Whether this reason shows that the endpoint has sent unsolicited data. A malformed answer does not: it is
+// the endpoint's own fault and not the answer to another call.
 bool IndicatesUnsolicitedData(DenialReason why);
 
-// Endpoints that have said something unasked. Each of their calls has a connection of its own.
+// Endpoints that have sent unsolicited data. Each call to such an endpoint gets a connection of its own.
 class SuspectEndpoints {
  public:
-  // Behind the latest sign. A peer that says things twice does so until it is mended.
+  // Counted from the latest report. A peer that sends duplicates does so until it is repaired.
   static constexpr Micros kSuspectDuration = std::chrono::minutes(10);
-  // So many, with signs within so long, speak for something in front of all of them.
+  // This many endpoints, reported within this window, point to a common cause in front of all endpoints.
   static constexpr std::size_t kSuspectsImplyingAll = 2;
   static constexpr Micros kCommonCauseWindow = std::chrono::seconds(30);
-  // Answers that were believed on a used connection so long before a sign are doubtful with it.
+  // Answers accepted on a reused connection within this time before a report become doubtful.
   static constexpr Micros kDoubtfulAnswerWindow = std::chrono::seconds(10);
 
-  // True where all endpoints are suspect from now on, and were not.
+  // Records that the endpoint has sent unsolicited data. Returns true if all endpoints become suspect by it.
   bool ReportUnsolicitedData(const EndpointId& endpoint, Micros now);
   bool IsSuspect(const EndpointId& endpoint, Micros now) const;
+  // Whether all endpoints are suspect because of a common cause.
   bool AllSuspect(Micros now) const { return now < all_until_; }
+  // Number of endpoints that are suspect by reports of their own.
   std::size_t Count(Micros now) const;
 
  private:
-  std::map<EndpointId, Micros> until_;
+  std::map<EndpointId, Micros> until_;  // when each endpoint stops being suspect
   Micros all_until_{Micros::min()};
 };
 
--- a/src/brain/lifecycle.cpp
+++ b/src/brain/lifecycle.cpp
@@ -9,19 +9,21 @@
 using Row = std::array<bool, kActions>;
 constexpr bool kYes = true, kNo = false;
 
+// Which action (column) is allowed in which phase (row).
 constexpr std::array<Row, kPhases> kAllowed = {{
-    // admit read take begin repeat notice watch reload close dismiss hand-over end
-    /* starting */ {kNo, kNo, kNo, kYes, kYes, kYes, kYes, kNo, kNo, kNo, kNo, kNo},
-    /* serving  */ {kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kNo, kYes, kNo},
-    /* quiesced */ {kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kNo},
-    /* draining */ {kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kNo, kYes, kNo},
-    /* leaving  */ {kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kNo, kNo},
-    /* refusing */ {kYes, kYes, kNo, kNo, kNo, kYes, kNo, kNo, kYes, kYes, kNo, kNo},
-    /* closing  */ {kNo, kNo, kNo, kNo, kNo, kYes, kNo, kNo, kYes, kNo, kNo, kYes},
-    /* ended    */ {kNo, kNo, kNo, kNo, kNo, kNo, kNo, kNo, kNo, kNo, kNo, kNo},
+    // accept client, read command, accept message, begin first call, repeat call, send notice,
+    // watch discovery, reload configuration, close client, disconnect clients, take over, end process
+    /* starting      */ {kNo, kNo, kNo, kYes, kYes, kYes, kYes, kNo, kNo, kNo, kNo, kNo},
+    /* serving       */ {kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kNo, kYes, kNo},
+    /* quiesced      */ {kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kNo},
+    /* draining      */ {kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kNo, kYes, kNo},
+    /* disconnecting */ {kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kYes, kNo, kNo},
+    /* rejecting     */ {kYes, kYes, kNo, kNo, kNo, kYes, kNo, kNo, kYes, kYes, kNo, kNo},
+    /* closing       */ {kNo, kNo, kNo, kNo, kNo, kYes, kNo, kNo, kYes, kNo, kNo, kYes},
+    /* ended         */ {kNo, kNo, kNo, kNo, kNo, kNo, kNo, kNo, kNo, kNo, kNo, kNo},
 }};
 
-// What another process's calls forbid as well, in every phase.
+// Actions that are forbidden in every phase while another process owns the calls.
 constexpr bool NeedsOwnership(Action action) {
   return action == Action::kBeginFirstCall || action == Action::kRepeatCall;
 }
--- a/src/brain/lifecycle.h
+++ b/src/brain/lifecycle.h
@@ -1,6 +1,6 @@
-// The life of the process, from its start to the end of its stop: one table says what may be done in each
-// phase, and every path asks it just before it acts. A stop goes forward by time up to the end of intake, and
-// from there by what has ended. Deterministic: the caller brings the time.
+// State machine of the process, from its start to the end of its graceful shutdown. One table says which
+// actions are allowed in each phase, and every code path asks it just before it acts. A shutdown advances by
+// time until intake ends, and after that by what has completed. Deterministic: the caller passes the time.
 #pragma once
 
 #include <array>
@@ -14,109 +14,132 @@
 
 namespace indigosaddle {
 
+// Phases of the process. Those from kDraining on belong to the shutdown and come in this order.
 enum class Phase : std::uint8_t {
-  kStarting,  // it does not listen yet
-  kServing,
-  kQuiesced,       // an operator has emptied the node: clients are sent away between two commands
-  kDraining,       // a stop was asked for: clients are served, calls that should end in time begin
-  kDisconnecting,  // clients are sent away between two commands, and with their next reply
-  kRejecting,      // intake is over: who ends a command, or is within one, is refused and sent away
-  kClosing,        // every client has its end; calls and notices that are out may still be answered
+  kStarting,       // does not listen for clients yet
+  kServing,        // normal operation
+  kQuiesced,       // on an operator's request: connected clients are disconnected between two commands
+  kDraining,       // shutdown requested: clients are still served, calls that should end in time begin
+  kDisconnecting,  // clients are disconnected between two commands and after their next reply
+  kRejecting,      // intake is over: pending commands are rejected and their clients disconnected
+  kClosing,        // no client is left; calls and notices in flight may still be answered
   kEnded,          // nothing runs any more
 };
 constexpr std::size_t kPhases = static_cast<std::size_t>(Phase::kEnded) + 1;
+
+// The phase's name in the log, the status and the metrics.
 std::string_view NameOf(Phase phase);
 
+// Actions that are allowed or denied by phase.
 enum class Action : std::uint8_t {
   kAcceptClient,         // accept a client's connection
-  kReadCommand,          // follow a command that a client has sent
-  kAcceptMessage,        // take a message on
-  kBeginFirstCall,       // call an endpoint for a message that was never called before
-  kRepeatCall,           // call once more
-  kSendNotice,           // tell the platform how messages ended
-  kWatchDiscovery,       // ask discovery for the list
-  kReloadConfiguration,  // put another configuration in force
-  kCloseClient,          // end a client's connection for its quiet or for its place
-  kDisconnectClients,    // send clients away
-  kTakeOver,             // take over what the process before this one has left
+  kReadCommand,          // read and execute a command that a client has sent
+  kAcceptMessage,        // accept a message for delivery
+  kBeginFirstCall,       // start the first call of a message
+  kRepeatCall,           // start another call of a message
+  kSendNotice,           // report final answers of messages to the platform
+  kWatchDiscovery,       // ask discovery for the list of endpoints
+  kReloadConfiguration,  // apply another configuration
+  kCloseClient,          // close a client's connection because it is idle or its slot is needed
+  kDisconnectClients,    // close the connections of all clients
+  kTakeOver,             // take over the work that the previous process has left
   kEndProcess,           // end the process
 };
 constexpr std::size_t kActions = static_cast<std::size_t>(Action::kEndProcess) + 1;
+
+// The action's name in the log, the status and the metrics.
 std::string_view NameOf(Action action);
 
 // Why a phase was entered.
 enum class PhaseCause : std::uint8_t {
-  kRequested,
-  kTimeReached,
-  kSuccessorServes,
-  kAllClientsDone,
-  kNothingInFlight,
-  kOutOfTime
+  kRequested,        // by a signal, an operator or the process itself
+  kTimeReached,      // the phase before was over by time
+  kSuccessorServes,  // another process has taken over intake
+  kAllClientsDone,   // no client is left
+  kNothingInFlight,  // no call and no notice is in flight any more
+  kOutOfTime,        // the time for the shutdown is over
 };
+
+// The cause's text in the log.
 std::string_view NameOf(PhaseCause cause);
 
+// A number for each action, indexed by its value.
 using ActionCounts = std::array<std::uint64_t, kActions>;
 
-// A phase that is over, with what was done and denied in it.
+// A transition between two phases, with what was done and denied in the phase that is over.
 struct PhaseChange {
-  Phase from = Phase::kStarting, to = Phase::kStarting;
+  Phase from = Phase::kStarting;
+  Phase to = Phase::kStarting;
   PhaseCause cause = PhaseCause::kRequested;
-  Micros lasted{0};
-  Micros since_signal{0};  // zero where no stop was asked for
-  ActionCounts done{}, denied{};
+  Micros lasted{0};        // time spent in `from`
+  Micros since_signal{0};  // zero where no shutdown was requested
+  ActionCounts done{};     // in `from`
+  ActionCounts denied{};   // in `from`
 };
 
+// Holds the current phase, decides and counts actions. Owned by the node and used on its thread alone.
 class Lifecycle {
  public:
-  // Planned stops, counted from the signal. SIGKILL comes 3.7 s behind it at the earliest: the end of intake
-  // leaves room for six hold-ups of 0.15 s in a row, the end of the process for three.
+  // Times of a planned shutdown, counted from the signal. SIGKILL follows 3.7 s after the signal at the
+  // earliest: the end of intake leaves room for six delays of 0.15 s in a row, the end of the process for
+  // three.
   static constexpr Micros kDisconnectAfter = std::chrono::milliseconds(2600);
   static constexpr Micros kRejectAfter = std::chrono::milliseconds(2800);
   static constexpr Micros kCloseAfter = std::chrono::milliseconds(3050);
   static constexpr Micros kEndAfter = std::chrono::milliseconds(3200);
-  // Beside a successor: the old process begins calls that should end by then, and takes messages on until
-  // then.
+  // With a successor running, the old process accepts messages for this long, and begins only calls that
+  // should end within it.
   static constexpr Micros kHandOverIntake = std::chrono::seconds(1);
-  // A successor begins no call until the process before it has ended, which is killed 3.7 s behind the
-  // successor's readiness; one that nobody stops holds it up no longer than this.
+  // A successor begins no call until the previous process has ended, which is killed 3.7 s after the
+  // successor is ready. If nobody stops the previous process, the successor waits no longer than this.
   static constexpr Micros kStandbyLimit = std::chrono::seconds(10);
 
+  // Called after each transition.
   using Observer = std::function<void(const PhaseChange&)>;
+  // Called when an action was done that the table forbids in the phase.
   using OnViolation = std::function<void(Phase, Action)>;
   Lifecycle(Micros now, Observer observer, OnViolation on_violation);
 
   Phase phase() const { return phase_; }
+  // Another process still owns the calls: this one begins none.
   bool standby() const { return standby_; }
+  // A shutdown has been requested.
   bool stopping() const { return phase_ >= Phase::kDraining; }
+  // This process stops while a successor serves.
   bool handing_over() const { return handing_over_; }
 
-  // Enters what time has brought, then says whether the action may be done now. A denial is counted.
+  // Advances by time, then returns whether the action is allowed now. Counts a denial.
   bool May(Action action, Micros now);
-  // The action is being done: counted, and a break where the table forbids it.
+  // Records that the action is being done. Reports a violation if the table forbids it.
   void Did(Action action);
 
+  // From kStarting to kServing.
   void Serve(Micros now);
+  // From kServing to kQuiesced.
   void Quiesce(Micros now);
+  // From kQuiesced back to kServing.
   void Resume(Micros now);
-  // Another process still serves from the same folder: this one begins no call until told otherwise.
+  // Set while another process still serves from the same folder: this one begins no call until it is unset.
   void SetStandby(bool standby) { standby_ = standby; }
-  // A stop, asked for at `signalled_at`. The first of several counts.
+  // Starts the shutdown, which was requested at `signalled_at`. Later requests are ignored.
   void Stop(Micros signalled_at, Micros now);
-  // A successor serves, or has come while this process stops.
+  // A successor serves while this process stops, whichever of the two came first. Shortens intake.
   void HandOver(Micros now);
-  // Enters what is due by time, up to the end of intake.
+  // Makes the transitions that are due by time, up to the end of intake.
   void Advance(Micros now);
-  // Intake is over, or a successor has it, and each client has its end.
+  // No client is left. Enters kClosing if intake is over or a successor has it.
   void AllClientsDone(Micros now);
-  // Nothing is out any more, or the time is over. To be called once all is closed.
+  // Nothing is in flight any more, or the time is over. To be called once everything is closed.
   void End(PhaseCause cause, Micros now);
 
-  // Time is over for who was not heard yet, and for the process; never before what came first was read.
+  // The remaining clients must be closed, or the process must end, as the time is over. The caller first
+  // reads what had arrived by then.
   bool MustClose(Micros now) const { return stopping() && now >= signalled_at_ + kCloseAfter; }
   bool MustEnd(Micros now) const { return stopping() && now >= signalled_at_ + kEndAfter; }
-  // When calls that begin now should have ended; max: whenever they do.
+  // When calls that begin now should have ended; Micros::max() where nothing bounds them.
   Micros CallsEndBy(Micros now) const { return standby_ ? now : calls_end_by_; }
 
+  // Since the start of the process.
   const ActionCounts& denied() const { return all_denied_; }
   std::uint64_t violations() const { return violations_; }
 
@@ -127,10 +150,16 @@
   Observer observer_;
   OnViolation on_violation_;
   Phase phase_ = Phase::kStarting;
-  bool standby_ = false, handing_over_ = false;
-  Micros entered_at_, signalled_at_{0}, disconnect_at_{Micros::max()}, reject_at_{Micros::max()};
+  bool standby_ = false;
+  bool handing_over_ = false;
+  Micros entered_at_;  // when phase_ was entered
+  Micros signalled_at_{0};
+  Micros disconnect_at_{Micros::max()};
+  Micros reject_at_{Micros::max()};
   Micros calls_end_by_{Micros::max()};
-  ActionCounts done_{}, denied_{}, all_denied_{};
+  ActionCounts done_{};        // in this phase
+  ActionCounts denied_{};      // in this phase
+  ActionCounts all_denied_{};  // in all phases
   std::uint64_t violations_ = 0;
 };
 
--- a/src/brain/repeat_rules.cpp
+++ b/src/brain/repeat_rules.cpp
@@ -6,9 +6,9 @@
 namespace indigosaddle {
 namespace {
 
-// Senders go by new settings 1.2 s behind the node; the rest is for a node or a sender that was held up.
+// Senders follow new settings 1.2 s after the node; the rest is for a node or a sender that was delayed.
 constexpr Micros kSenderSettingsDelay = std::chrono::seconds(3);
-constexpr std::size_t kMaxSpans = 16;  // of a class: more are merged, the oldest first
+constexpr std::size_t kMaxSpans = 16;  // per class: beyond that the oldest are merged
 
 Micros LongestDeadline(const std::vector<RuleSpan>& spans) {
   Micros longest(0);
@@ -18,13 +18,13 @@
 
 bool InForce(const RuleSpan& span) { return span.until == Micros::max(); }
 
-// Whether a sender may have written a message under it at `birth` or later.
-bool MayApply(const RuleSpan& span, Micros birth) {
-  return InForce(span) || span.until + kSenderSettingsDelay > birth;
+// Whether a sender may have created a message under this span at `created_at` or later.
+bool MayApply(const RuleSpan& span, Micros created_at) {
+  return InForce(span) || span.until + kSenderSettingsDelay > created_at;
 }
 
-// The message is at the most so old when its hand-in begins. Where its time left says nothing, any age that
-// its class allows.
+// The greatest age that the message can have when its command arrives. Where its time left says nothing, any
+// age that its class allows.
 Micros MaxAge(const EnqueueFacts& enqueue, Micros longest) {
   if (enqueue.enqueued_before || enqueue.time_left > longest) return longest;
   return longest - enqueue.time_left;
@@ -62,7 +62,7 @@
 void RuleHistory::Restore(Spans spans, Micros now) {
   spans_ = std::move(spans);
   for (auto& [name, of_class] : spans_) {
-    for (RuleSpan& span : of_class)  // node time may have begun anew, behind what was saved
+    for (RuleSpan& span : of_class)  // node time may have restarted, and lie before the saved times
       if (!InForce(span)) span.until = std::min(span.until, now);
   }
   Prune(now);
@@ -104,26 +104,26 @@
   const auto known = spans_.find(message_class);
   if (known == spans_.end() || known->second.empty()) return {kStrictestRules, false};
   const std::vector<RuleSpan>& spans = known->second;
-  const Micros birth = enqueue.received_at - MaxAge(enqueue, LongestDeadline(spans));
+  const Micros created_at = enqueue.received_at - MaxAge(enqueue, LongestDeadline(spans));
   ApplicableRules applicable{Strictest(spans.back().rules, spans.back().rules), true};
   for (const RuleSpan& span : spans) {
-    if (!MayApply(span, birth)) continue;
+    if (!MayApply(span, created_at)) continue;
     const RepeatRules both = Strictest(applicable.rules, span.rules);
     applicable.sure =
         applicable.sure && both == applicable.rules && both == Strictest(span.rules, span.rules);
     applicable.rules = both;
   }
-  // Its sender gave no key that receivers could know it by: it was not written under rules that use one.
+  // Without an idempotency key receivers can't recognize a repeat: the message was not created under rules
+  // that use one.
   if (applicable.rules.effect == Effect::kKeyed && !enqueue.has_key)
     applicable.rules.effect = Effect::kUnsafe;
   return applicable;
 }
 
-// Drops what can bind no message any more, and bounds what a flood of changes leaves.
 void RuleHistory::Prune(Micros now) {
   for (auto& [name, spans] : spans_) {
-    const Micros oldest_birth = now - LongestDeadline(spans);
-    std::erase_if(spans, [&](const RuleSpan& span) { return !MayApply(span, oldest_birth); });
+    const Micros oldest_creation = now - LongestDeadline(spans);
+    std::erase_if(spans, [&](const RuleSpan& span) { return !MayApply(span, oldest_creation); });
     while (spans.size() > kMaxSpans && !InForce(spans[0]) && !InForce(spans[1])) {
       spans[1] = Merged(spans[0], spans[1]);
       spans.erase(spans.begin());
--- a/src/brain/repeat_rules.h
+++ b/src/brain/repeat_rules.h
@@ -1,11 +1,11 @@
-// Which rules for repeats and order bind a message that is handed in: those in force when its sender wrote
-// it.
+// Determines which rules for repeats and order apply to an enqueued message: those that were in force when
+// its sender created it.
 //
-// Settings change while the node serves. Senders learn of a change later than the node, and what they hand in
-// may be older than it. Where it can't be known under which rules a message was born, the strictest of all
-// that may apply bind it; what was surely born behind a change goes by the new ones. From its hand-in on a
-// message carries its rules itself (Message::rules, and the journal): nothing looks them up by its class
-// again.
+// Settings change while the node serves. Senders learn of a change later than the node, and a message that
+// they enqueue may be older than the change. Where it is unknown under which rules a message was created, the
+// strictest of all that may apply are used. A message that was certainly created after a change follows the
+// new rules. Once enqueued, a message carries its rules itself (Message::rules, and the journal): they are
+// not looked up by its class again.
 #pragma once
 
 #include <map>
@@ -16,56 +16,66 @@
 
 namespace indigosaddle {
 
-// For a message of whose birth nothing is known.
+// For a message of whose creation nothing is known.
 constexpr RepeatRules kStrictestRules{Effect::kUnsafe, Group::kCell, Micros(0), true};
 
-// The loosest rules that keep both.
+// The loosest rules that satisfy both.
 RepeatRules Strictest(const RepeatRules& a, const RepeatRules& b);
 
-// What a class said, and until when it did; instants are node time.
+// The rules of a class during one period. Instants are node time.
 struct RuleSpan {
   RepeatRules rules;
-  Micros deadline{0};            // the most time that its messages had
-  Micros until = Micros::max();  // max: it is in force
+  Micros deadline{0};            // longest time to deliver that its messages had
+  Micros until = Micros::max();  // end of the period; max: still in force
   friend bool operator==(const RuleSpan&, const RuleSpan&) = default;
 };
 
-// What a hand-in tells of its message's birth.
+// What an ENQUEUE command tells about when its message was created.
 struct EnqueueFacts {
-  Micros received_at{0};         // the first byte of its command
-  Micros time_left{0};           // from then
-  bool enqueued_before = false;  // to this node or another
-  bool has_key = false;          // an idempotency key
+  Micros received_at{0};         // when the command's first byte arrived
+  Micros time_left{0};           // to deliver, counted from received_at
+  bool enqueued_before = false;  // the client enqueued it before, at this node or another
+  bool has_key = false;          // it has an idempotency key
 };
 
+// The rules that an enqueued message has to follow.
 struct ApplicableRules {
   RepeatRules rules;
-  bool sure = true;  // false: several may apply, these are the strictest
+  bool sure = true;  // false: several rules may apply, and these are the strictest
 };
 
-// What was in force before a process began: nothing, which is so at a folder's first start; or not known.
-enum class PriorRules { kNone, kUnknown };
+// What was in force before the process started.
+enum class PriorRules {
+  kNone,  // nothing: first start with this state folder
+  kUnknown
+};
 
+// The rules of all classes over time, as far back as a message may have been created. Saved and restored by
+// its owner.
 class RuleHistory {
  public:
+  // Settings by class name.
   using Classes = std::map<std::string, ClassSettings>;
-  using Spans = std::map<std::string, std::vector<RuleSpan>>;  // by class
+  using Spans = std::map<std::string, std::vector<RuleSpan>>;  // by class name, oldest first
 
-  // The first settings of a process that finds no history.
+  // Starts with the first settings of a process that finds no saved history.
   void Begin(const Classes& classes, Micros now, PriorRules prior);
-  // Takes up what an earlier process saved. In force is what Change says next.
+  // Restores what an earlier process saved. The next Change says which rules are in force.
   void Restore(Spans spans, Micros now);
-  // These classes are in force from now on. False where nothing changed.
+  // Puts these classes in force from now on. Returns false if nothing changed.
   bool Change(const Classes& classes, Micros now);
-  // Another process's history of the same node, up to now.
+  // Adds another process's history of the same node, up to now.
   void Merge(const Spans& spans, Micros now);
-  // Up to now other rules may have been in force than are known here: the strictest bind what may be older.
+  // Other rules than those known here may have been in force until now: the strictest rules apply to messages
+  // that may be older.
   void AssumeStrictestBefore(Micros now);
 
+  // The rules for a message of this class. An unknown class gets the strictest rules, as unsure.
   ApplicableRules RulesFor(const std::string& message_class, const EnqueueFacts& enqueue) const;
   const Spans& spans() const { return spans_; }
 
  private:
+  // Drops spans that can apply to no message any more, and bounds their number per class.
   void Prune(Micros now);
 
   Spans spans_;
--- a/tests/brain_connection_trust_test.cpp
+++ b/tests/brain_connection_trust_test.cpp
@@ -1,5 +1,4 @@
-// What a connection may be used for, and which answers are believed: the table of CheckConnectionUse, state
-// by state.
+// CheckConnectionUse state by state: what a connection may carry, and which answers are accepted.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -15,95 +14,97 @@
                                                  ConnectionState::kReadingRest, ConnectionState::kSettling,
                                                  ConnectionState::kReusable,    ConnectionState::kClosed};
 
-ConnectionFacts In(ConnectionState state) {
+ConnectionFacts FactsIn(ConnectionState state) {
   ConnectionFacts facts;
   facts.state = state;
   facts.request_sent = true;
   return facts;
 }
-DenialReason Carry(const ConnectionFacts& facts) {
+DenialReason CheckSend(const ConnectionFacts& facts) {
   return CheckConnectionUse(facts, ConnectionUse::kSendCall);
 }
-DenialReason Believe(const ConnectionFacts& facts) {
+DenialReason CheckAnswer(const ConnectionFacts& facts) {
   return CheckConnectionUse(facts, ConnectionUse::kAcceptAnswer);
 }
-DenialReason Keep(const ConnectionFacts& facts) {
+DenialReason CheckKeep(const ConnectionFacts& facts) {
   return CheckConnectionUse(facts, ConnectionUse::kKeepOpen);
 }
 
-// Guards against a call on a connection on which something can still come.
-TEST(ConnectionTrust, OnlyAFreshOrASilentOneCarriesACall) {
+// Guards against a call on a connection on which another answer can still arrive.
+TEST(ConnectionTrust, OnlyFreshOrReusableConnectionsCarryACall) {
   for (const ConnectionState state : kAllStates) {
     const bool may = state == ConnectionState::kFresh || state == ConnectionState::kReusable;
-    EXPECT_EQ(Carry(In(state)) == DenialReason::kNone, may) << NameOf(state);
+    EXPECT_EQ(CheckSend(FactsIn(state)) == DenialReason::kNone, may) << NameOf(state);
   }
 }
 
-TEST(ConnectionTrust, EachReasonKeepsAUsedOneFromACall) {
+TEST(ConnectionTrust, EachReasonDeniesACallOnAReusedConnection) {
   const auto with = [](auto change) {
-    ConnectionFacts facts = In(ConnectionState::kReusable);
+    ConnectionFacts facts = FactsIn(ConnectionState::kReusable);
     change(facts);
-    return Carry(facts);
+    return CheckSend(facts);
   };
   EXPECT_EQ(with([](ConnectionFacts& f) { f.suspect_endpoint = true; }), DenialReason::kSuspectEndpoint);
   EXPECT_EQ(with([](ConnectionFacts& f) { f.unread_input = true; }), DenialReason::kUnreadInput);
   EXPECT_EQ(with([](ConnectionFacts& f) { f.idle_too_long = true; }), DenialReason::kIdleTooLong);
   EXPECT_EQ(with([](ConnectionFacts& f) { f.address_changed = true; }), DenialReason::kAddressChanged);
   EXPECT_EQ(with([](ConnectionFacts& f) { f.first_call_only = true; }), DenialReason::kFirstCallOnly);
-  ConnectionFacts fresh = In(ConnectionState::kFresh);
+  ConnectionFacts fresh = FactsIn(ConnectionState::kFresh);
   fresh.first_call_only = fresh.suspect_endpoint = true;
-  EXPECT_EQ(Carry(fresh), DenialReason::kNone);
+  EXPECT_EQ(CheckSend(fresh), DenialReason::kNone);
   fresh.unread_input = true;
-  EXPECT_EQ(Carry(fresh), DenialReason::kUnreadInput);
+  EXPECT_EQ(CheckSend(fresh), DenialReason::kUnreadInput);
 }
 
-// Guards against an answer that ends a call which is not out, or whose endpoint says things twice.
-TEST(ConnectionTrust, AnAnswerIsBelievedWhereItCanBeNoOther) {
+// Guards against an answer that ends a call which is not in flight, or whose endpoint sends duplicates.
+TEST(ConnectionTrust, AnAnswerIsAcceptedOnlyIfItMustBelongToTheCall) {
   for (const ConnectionState state : kAllStates) {
     const bool may = state == ConnectionState::kInFirstCall || state == ConnectionState::kInLaterCall;
-    EXPECT_EQ(Believe(In(state)) == DenialReason::kNone, may) << NameOf(state);
+    EXPECT_EQ(CheckAnswer(FactsIn(state)) == DenialReason::kNone, may) << NameOf(state);
   }
   for (const bool first : {true, false}) {
-    ConnectionFacts facts = In(first ? ConnectionState::kInFirstCall : ConnectionState::kInLaterCall);
+    ConnectionFacts facts = FactsIn(first ? ConnectionState::kInFirstCall : ConnectionState::kInLaterCall);
     facts.suspect_endpoint = true;
-    EXPECT_EQ(Believe(facts), first ? DenialReason::kNone : DenialReason::kSuspectEndpoint);
+    EXPECT_EQ(CheckAnswer(facts), first ? DenialReason::kNone : DenialReason::kSuspectEndpoint);
     facts.suspect_endpoint = false;
     facts.trailing_bytes = true;
-    EXPECT_EQ(Believe(facts), first ? DenialReason::kNone : DenialReason::kTrailingBytes);
+    EXPECT_EQ(CheckAnswer(facts), first ? DenialReason::kNone : DenialReason::kTrailingBytes);
     facts.trailing_bytes = false;
     facts.malformed = true;
-    EXPECT_EQ(Believe(facts), first ? DenialReason::kNone : DenialReason::kMalformedAnswer);
+    EXPECT_EQ(CheckAnswer(facts), first ? DenialReason::kNone : DenialReason::kMalformedAnswer);
     facts.write_delayed = true;
-    EXPECT_EQ(Believe(facts), DenialReason::kWriteDelayed);
+    EXPECT_EQ(CheckAnswer(facts), DenialReason::kWriteDelayed);
   }
 }
 
-// Before the call's last byte has left, only that it will not run, and only where nobody else can say so.
-TEST(ConnectionTrust, AnEarlyAnswerIsBelievedOnlyAsARefusalOfAFirstCallThatHasNotLeft) {
+// Guards against an early answer to another call: before the call's last byte was sent, only a refusal
+// counts, and only on a first call.
+TEST(ConnectionTrust, AnEarlyAnswerIsAcceptedOnlyAsARefusalOfAnUnsentFirstCall) {
   for (const bool first : {true, false})
     for (const bool refusal : {true, false})
       for (const bool sent : {true, false}) {
-        ConnectionFacts facts = In(first ? ConnectionState::kInFirstCall : ConnectionState::kInLaterCall);
+        ConnectionFacts facts =
+            FactsIn(first ? ConnectionState::kInFirstCall : ConnectionState::kInLaterCall);
         facts.answered_early = true;
         facts.refusal = refusal;
         facts.request_sent = sent;
-        EXPECT_EQ(Believe(facts) == DenialReason::kNone, first && refusal && !sent);
-        EXPECT_EQ(Keep(facts), DenialReason::kEarlyAnswer);
+        EXPECT_EQ(CheckAnswer(facts) == DenialReason::kNone, first && refusal && !sent);
+        EXPECT_EQ(CheckKeep(facts), DenialReason::kEarlyAnswer);
       }
 }
 
-// Guards against a repeat beside a call that a copied refusal has ended.
-TEST(ConnectionTrust, AUsedOneIsKeptBehindDeliveriesOnly) {
+// Guards against a repeat beside a running call: a duplicate of an earlier refusal has ended that call.
+TEST(ConnectionTrust, AReusedConnectionIsKeptOnlyAfterADelivery) {
   for (const bool delivered : {true, false}) {
-    ConnectionFacts facts = In(ConnectionState::kInLaterCall);
+    ConnectionFacts facts = FactsIn(ConnectionState::kInLaterCall);
     facts.delivered = delivered;
-    EXPECT_EQ(Keep(facts), delivered ? DenialReason::kNone : DenialReason::kNotDelivered);
+    EXPECT_EQ(CheckKeep(facts), delivered ? DenialReason::kNone : DenialReason::kNotDelivered);
     facts.state = ConnectionState::kInFirstCall;
-    EXPECT_EQ(Keep(facts), DenialReason::kNone);
+    EXPECT_EQ(CheckKeep(facts), DenialReason::kNone);
   }
 }
 
-TEST(ConnectionTrust, SettlesByTime) {
+TEST(ConnectionTrust, AConnectionBecomesReusableAfterTheQuietPeriod) {
   ConnectionLifecycle life(seconds(1));
   EXPECT_EQ(life.At(seconds(1)), ConnectionState::kConnecting);
   life.MarkConnected(seconds(2));
@@ -117,7 +118,7 @@
   EXPECT_EQ(life.At(seconds(12)), ConnectionState::kInLaterCall);
 }
 
-TEST(ConnectionTrust, OneEndpointIsSuspectAloneAndSeveralSpeakForAll) {
+TEST(ConnectionTrust, SeveralSuspectEndpointsMakeAllSuspect) {
   SuspectEndpoints suspects;
   EXPECT_FALSE(suspects.ReportUnsolicitedData("a", seconds(1)));
   EXPECT_TRUE(suspects.IsSuspect("a", seconds(1)));
@@ -126,7 +127,7 @@
   EXPECT_FALSE(suspects.AllSuspect(seconds(2)));
   EXPECT_TRUE(suspects.ReportUnsolicitedData("b", seconds(3)));
   EXPECT_TRUE(suspects.IsSuspect("c", seconds(3)));
-  EXPECT_FALSE(suspects.ReportUnsolicitedData("c", seconds(3)));  // no news
+  EXPECT_FALSE(suspects.ReportUnsolicitedData("c", seconds(3)));  // all were suspect before
   SuspectEndpoints apart;                                         // each for a reason of its own
   EXPECT_FALSE(apart.ReportUnsolicitedData("a", seconds(1)));
   EXPECT_FALSE(apart.ReportUnsolicitedData("b", seconds(2) + SuspectEndpoints::kCommonCauseWindow));
@@ -137,8 +138,9 @@
   EXPECT_EQ(suspects.Count(over), 0u);
 }
 
-// Guards against a call during a wait that was told by the own answer of a call which a copy has ended.
-TEST(ConnectionTrust, AWaitToldOutsideOfACallPausesItsDestination) {
+// Guards against a call during a Retry-After that came with a call's own answer, after a duplicate of an
+// earlier answer had ended that call.
+TEST(ConnectionTrust, ARetryAfterOutsideOfACallPausesItsDestination) {
   TestNode node(BaseSettings());
   node.Turn(seconds(1), [&] { node.List({TestNode::At(1, "a"), TestNode::At(2, "b")}); });
   node.Turn(seconds(2), [&] {
--- a/tests/brain_lifecycle_test.cpp
+++ b/tests/brain_lifecycle_test.cpp
@@ -1,4 +1,4 @@
-// The table of phase and action, and the order in which phases follow one another.
+// The lifecycle's table of phases and actions, and the order of the phases.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -30,8 +30,8 @@
                       [this](Phase phase, Action action) { violations.emplace_back(phase, action); }};
 };
 
-// Guards against intake behind its end: whoever asks late is denied, whether or not a timer has run.
-TEST_F(LifecycleTest, TheClockAloneEndsIntake) {
+// Guards against intake after its end: a late request is denied, whether or not a timer has run.
+TEST_F(LifecycleTest, IntakeEndsByTimeWithoutATimer) {
   Serve();
   Stop(kStart);
   EXPECT_TRUE(lifecycle.May(Action::kAcceptMessage, kStart + Lifecycle::kRejectAfter - milliseconds(1)));
@@ -44,8 +44,8 @@
   EXPECT_TRUE(lifecycle.May(Action::kSendNotice, kStart + Lifecycle::kRejectAfter));
 }
 
-// Guards against a stop that time alone carries on: closing and the end come with what has ended.
-TEST_F(LifecycleTest, BehindIntakeOnlyWhatHasEndedLeadsOn) {
+// Guards against a shutdown that closes or ends by time alone, while clients are left or calls are in flight.
+TEST_F(LifecycleTest, AfterIntakeTimeAloneDoesNotAdvanceTheShutdown) {
   Serve();
   Stop(kStart);
   lifecycle.Advance(kStart + seconds(60));
@@ -63,31 +63,31 @@
   EXPECT_TRUE(violations.empty());
 }
 
-// Guards against too little room: six hold-ups in a row behind intake, three behind the end, before the kill.
-TEST_F(LifecycleTest, IntakeAndEndLeaveRoomForHoldUpsInARow) {
-  constexpr Micros kEarliestKill = milliseconds(3700), kHoldUp = milliseconds(150);
-  EXPECT_LE(Lifecycle::kRejectAfter + 6 * kHoldUp, kEarliestKill);
-  EXPECT_LE(Lifecycle::kEndAfter + 3 * kHoldUp, kEarliestKill);
+// Guards against too little room before SIGKILL: for six delays in a row after intake, three after the end.
+TEST_F(LifecycleTest, IntakeAndEndLeaveRoomForDelaysInARow) {
+  constexpr Micros kEarliestKill = milliseconds(3700), kDelay = milliseconds(150);
+  EXPECT_LE(Lifecycle::kRejectAfter + 6 * kDelay, kEarliestKill);
+  EXPECT_LE(Lifecycle::kEndAfter + 3 * kDelay, kEarliestKill);
   EXPECT_LT(Lifecycle::kDisconnectAfter, Lifecycle::kRejectAfter);
   EXPECT_LT(Lifecycle::kCloseAfter, Lifecycle::kEndAfter);
 }
 
-// Guards against a stop that counts from when the process was let go on, not from its signal.
-TEST_F(LifecycleTest, AStopCountsFromItsSignal) {
+// Guards against a shutdown timed from when a delayed process ran again instead of from its signal.
+TEST_F(LifecycleTest, ShutdownTimesCountFromTheSignal) {
   Serve();
   lifecycle.Stop(kStart, kStart + milliseconds(450));
   EXPECT_FALSE(lifecycle.May(Action::kAcceptMessage, kStart + Lifecycle::kRejectAfter));
 }
 
-TEST_F(LifecycleTest, TheFirstOfSeveralStopsCounts) {
+TEST_F(LifecycleTest, LaterStopRequestsDoNotExtendTheShutdown) {
   Serve();
   Stop(kStart);
   lifecycle.Stop(kStart + seconds(1), kStart + seconds(1));
   EXPECT_FALSE(lifecycle.May(Action::kAcceptMessage, kStart + Lifecycle::kRejectAfter));
 }
 
-// Guards against a quiesce or resume that turns a stop back.
-TEST_F(LifecycleTest, NothingTurnsAStopBack) {
+// Guards against a quiesce or resume request that reverts a shutdown.
+TEST_F(LifecycleTest, QuiesceAndResumeDoNotRevertAShutdown) {
   Serve();
   lifecycle.Quiesce(kStart);
   Stop(kStart);
@@ -97,9 +97,8 @@
   EXPECT_EQ(lifecycle.phase(), Phase::kDraining);
 }
 
-// Guards against two processes that both begin calls: one that waits to take over begins none, whatever its
-// phase.
-TEST_F(LifecycleTest, OnStandbyNoCallBeginsButMessagesAreTaken) {
+// Guards against two processes that both begin calls: one that waits to take over begins none, in any phase.
+TEST_F(LifecycleTest, StandbyAcceptsMessagesButBeginsNoCalls) {
   lifecycle.SetStandby(true);
   Serve();
   EXPECT_TRUE(lifecycle.May(Action::kAcceptMessage, kStart));
@@ -111,8 +110,8 @@
   EXPECT_EQ(lifecycle.CallsEndBy(kStart), Micros::max());
 }
 
-// Guards against an old process that takes on beside its successor for as long as a stop lasts.
-TEST_F(LifecycleTest, ASuccessorEndsIntakeSoonerWheneverItComes) {
+// Guards against an old process that accepts messages beside its successor for as long as a shutdown lasts.
+TEST_F(LifecycleTest, ASuccessorShortensIntake) {
   Serve();
   Stop(kStart);
   lifecycle.HandOver(kStart + milliseconds(500));
@@ -123,8 +122,8 @@
   EXPECT_FALSE(lifecycle.May(Action::kAcceptMessage, over));
 }
 
-// Guards against a break that goes unseen: it is counted and told; a denial is counted and none.
-TEST_F(LifecycleTest, WhatIsDoneAgainstTheTableIsABreak) {
+// Guards against an unnoticed violation: it is counted and reported. A denial is counted and is no violation.
+TEST_F(LifecycleTest, AForbiddenActionThatWasDoneIsReported) {
   Serve();
   EXPECT_FALSE(lifecycle.May(Action::kEndProcess, kStart));
   EXPECT_EQ(lifecycle.violations(), 0u);
@@ -135,8 +134,8 @@
   EXPECT_EQ(violations[0], std::pair(Phase::kServing, Action::kDisconnectClients));
 }
 
-// Guards against counts of one phase in the line of the next.
-TEST_F(LifecycleTest, EachPhaseTellsWhatWasDoneAndDeniedInIt) {
+// Guards against counts of one phase that are reported with the next.
+TEST_F(LifecycleTest, CountsAreReportedPerPhase) {
   Serve();
   lifecycle.Did(Action::kAcceptMessage);
   lifecycle.Did(Action::kAcceptMessage);
--- a/tests/brain_repeat_rules_test.cpp
+++ b/tests/brain_repeat_rules_test.cpp
@@ -1,4 +1,4 @@
-// The rules that a message is born under, from what its hand-in tells (src/brain/repeat_rules.h).
+// Which rules apply to an enqueued message, from what its command tells (src/brain/repeat_rules.h).
 #include <gtest/gtest.h>
 
 #include "brain/repeat_rules.h"
@@ -31,14 +31,14 @@
   RuleHistory history;
 };
 
-TEST_F(RuleHistoryTest, WithoutAChangeTheRulesAreSureWhateverTheAge) {
+TEST_F(RuleHistoryTest, WithoutAChangeTheRulesAreSureAtAnyAge) {
   Begin(kUnsafeRules);
   EXPECT_EQ(RulesOf(kStart), kUnsafeRules);
   EXPECT_TRUE(history.RulesFor("notice", {kStart, seconds(1), true, true}).sure);
   EXPECT_FALSE(history.RulesFor("other", {kStart, seconds(1), true, true}).sure);
 }
 
-TEST_F(RuleHistoryTest, ALooseningBindsWhatIsSurelyYounger) {
+TEST_F(RuleHistoryTest, LooserRulesApplyOnlyToMessagesSurelyCreatedAfterTheChange) {
   Begin(kUnsafeRules);
   ASSERT_TRUE(history.Change(One(kSafeRules), kStart + seconds(10)));
   const Micros change = kStart + seconds(10);
@@ -47,28 +47,28 @@
   EXPECT_EQ(RulesOf(change + milliseconds(3100)), kSafeRules);
   EXPECT_EQ(RulesOf(change + milliseconds(3100), seconds(7)), kUnsafeRules);  // 1 s old
   EXPECT_EQ(RulesOf(change + milliseconds(4100), seconds(7)), kSafeRules);
-  EXPECT_EQ(RulesOf(change + seconds(10), seconds(8), true), kUnsafeRules);  // handed in before: any age
+  EXPECT_EQ(RulesOf(change + seconds(10), seconds(8), true), kUnsafeRules);  // enqueued before: any age
   EXPECT_EQ(RulesOf(change + seconds(10), seconds(60)), kUnsafeRules);       // more than its class allows
   EXPECT_EQ(RulesOf(change + milliseconds(11100), seconds(1), true), kSafeRules);
   EXPECT_FALSE(history.Change(One(kSafeRules), change + seconds(1)));
 }
 
-TEST_F(RuleHistoryTest, ATighteningBindsAtOnce) {
+TEST_F(RuleHistoryTest, StricterRulesApplyAtOnce) {
   Begin(kSafeRules);
   history.Change(One(kUnsafeRules), kStart);
   EXPECT_EQ(RulesOf(kStart), kUnsafeRules);
   EXPECT_EQ(RulesOf(kStart - milliseconds(5)), kUnsafeRules);  // its first bytes came before
 }
 
-// The age is judged by the longest deadline, old or new.
-TEST_F(RuleHistoryTest, AShorterDeadlineHidesNoAge) {
+// Guards against an age that is underestimated: it is computed from the longest deadline, old or new.
+TEST_F(RuleHistoryTest, AgeIsComputedFromTheLongestDeadline) {
   Begin(kUnsafeRules);
   history.Change(One(kSafeRules, seconds(2)), kStart);
   EXPECT_EQ(RulesOf(kStart + seconds(5), seconds(2)), kUnsafeRules);
   EXPECT_EQ(RulesOf(kStart + milliseconds(9100), seconds(2)), kSafeRules);
 }
 
-TEST_F(RuleHistoryTest, ThreeChangesWithinASecondAndAnUndoLeaveTheStrictestOfAll) {
+TEST_F(RuleHistoryTest, SeveralQuickChangesApplyTheStrictestOfAll) {
   Begin(kSafeRules);
   history.Change(One(kKeyedRules), kStart + milliseconds(300));
   history.Change(One({Effect::kKeyed, Group::kZone, seconds(30), true}), kStart + milliseconds(600));
@@ -77,7 +77,7 @@
   EXPECT_EQ(RulesOf(kStart + seconds(4)), kSafeRules);
 }
 
-TEST_F(RuleHistoryTest, AClassDroppedAndAddedAgainIsNoNewName) {
+TEST_F(RuleHistoryTest, AClassRemovedAndAddedAgainKeepsItsHistory) {
   Begin(kUnsafeRules);
   history.Change({}, kStart + seconds(1));
   history.Change(One(kSafeRules), kStart + seconds(2));
@@ -91,13 +91,13 @@
   EXPECT_EQ(RulesOf(kStart, kDeadline, false, false).effect, Effect::kUnsafe);
 }
 
-TEST_F(RuleHistoryTest, WhatIsNotKnownOfTheTimeBeforeIsTheStrictest) {
+TEST_F(RuleHistoryTest, UnknownPriorRulesCountAsTheStrictest) {
   history.Begin(One(kSafeRules), kStart, PriorRules::kUnknown);
   EXPECT_EQ(RulesOf(kStart + seconds(1)), kStrictestRules);
   EXPECT_EQ(RulesOf(kStart + seconds(4)), kSafeRules);
 }
 
-TEST_F(RuleHistoryTest, ARestartGoesOnFromWhatWasSaved) {
+TEST_F(RuleHistoryTest, ARestartContinuesTheSavedHistory) {
   Begin(kUnsafeRules);
   history.Change(One(kSafeRules), kStart + seconds(1));
   RuleHistory next;
@@ -105,7 +105,7 @@
   next.Change(One(kSafeRules), kStart + seconds(2));
   EXPECT_EQ(next.RulesFor("notice", {kStart + seconds(3), kDeadline, false, true}).rules, kUnsafeRules);
   EXPECT_EQ(next.RulesFor("notice", {kStart + seconds(5), kDeadline, false, true}).rules, kSafeRules);
-  // Node time began anew, behind what was saved: the change counts as one of now.
+  // Node time has restarted and lies before the saved times: the change counts as made now.
   RuleHistory other_boot;
   other_boot.Restore(history.spans(), seconds(5));
   other_boot.Change(One(kSafeRules), seconds(5));
@@ -113,7 +113,7 @@
   EXPECT_EQ(other_boot.RulesFor("notice", {seconds(9), kDeadline, false, true}).rules, kSafeRules);
 }
 
-TEST_F(RuleHistoryTest, ASuccessorKnowsWhatTheProcessBeforeItChanged) {
+TEST_F(RuleHistoryTest, ASuccessorMergesThePreviousProcessesHistory) {
   Begin(kSafeRules);  // the successor's own file
   RuleHistory before;
   before.Begin(One(kUnsafeRules), kStart, PriorRules::kNone);
@@ -124,7 +124,7 @@
   EXPECT_EQ(RulesOf(kStart + seconds(6)), kUnsafeRules);
 }
 
-TEST_F(RuleHistoryTest, AFloodOfChangesIsBoundedAndForgotten) {
+TEST_F(RuleHistoryTest, ManyChangesAreBoundedAndPruned) {
   Begin(kUnsafeRules);
   for (int i = 1; i <= 1000; ++i)
     history.Change(One(i % 2 == 0 ? kUnsafeRules : kSafeRules), kStart + milliseconds(i));
