--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -13,8 +13,8 @@
 namespace indigosaddle::wire {
 namespace {
 
-constexpr std::uint64_t kBanks = 16;            // lists are numbered 0 to 15
-constexpr std::uint64_t kMostRows = 1'000'000;  // against a count that only bad input could hold
+constexpr std::uint64_t kMaxLists = 16;        // lists are numbered 0 to 15
+constexpr std::uint64_t kMaxRows = 1'000'000;  // a larger count can only come from bad input
 
 std::pair<std::string_view, std::string_view> NameAndRest(std::string_view line) {
   const std::size_t space = line.find(' ');
@@ -28,7 +28,7 @@
   return static_cast<int>(value);
 }
 
-// A destination is a number that the wire may write with a fraction point.
+// A destination is a whole number, which the protocol may write with a decimal point.
 std::uint64_t Destination(const Fields& fields, std::string_view name) {
   fields.Text(name);
   const double value = fields.Number(name, 0);
@@ -157,7 +157,7 @@
 
 std::optional<Batch> Decoder::Next() {
   line_number_ = 0;
-  do {  // blank lines between batches mean nothing
+  do {  // skip blank lines between batches
     line_number_ = 0;
     if (!ReadLine()) return std::nullopt;
   } while (line_.empty());
@@ -177,11 +177,11 @@
     if (name == "turn" || name == "row") throw WireError(line_number_, name, "an event or eob");
     const Fields fields(rest, line_number_);
     if (name == "register") {
-      const std::uint64_t bank = fields.Unsigned("bank");
+      const std::uint64_t list = fields.Unsigned("bank");
       const std::uint64_t count = fields.Unsigned("items");
-      if (bank >= kBanks) fields.Reject("bank", "0 to 15");
-      if (count > kMostRows) fields.Reject("items", "at most 1000000 rows");
-      banks_[bank] = ReadRows(count);
+      if (list >= kMaxLists) fields.Reject("bank", "0 to 15");
+      if (count > kMaxRows) fields.Reject("items", "at most 1000000 rows");
+      lists_[list] = ReadRows(count);
       continue;
     }
     Event event;
@@ -192,9 +192,9 @@
     } else if (name == "announce") {
       Announce announce{ReadMode(fields), nullptr};
       if (announce.mode != ListMode::kFailed) {
-        auto bank = banks_.find(fields.Unsigned("bank"));
-        if (bank == banks_.end()) fields.Reject("bank", "the number of a registered list");
-        announce.entries = bank->second;
+        auto list = lists_.find(fields.Unsigned("bank"));
+        if (list == lists_.end()) fields.Reject("bank", "the number of a registered list");
+        announce.entries = list->second;
       }
       event.body = std::move(announce);
     } else if (name == "inbound") {
@@ -208,7 +208,8 @@
     } else if (name == "lapsed") {
       event.body = Withdrawn{fields.Unsigned("opId")};
     } else {
-      if (name != "streaming" && name != "note_from" && unknown_.insert(std::string(name)).second) {
+      if (name != "streaming" && name != "note_from" &&
+          noted_unknown_events_.insert(std::string(name)).second) {
         notes_ << "passing over unknown event '" << name << "'\n";
       }
       continue;
--- a/src/wire/encoder.cpp
+++ b/src/wire/encoder.cpp
@@ -1,4 +1,4 @@
-// The module's actions as text of the bench's wire.
+// Writes the decision engine's actions as text of the simulator's protocol.
 #include <string>
 #include <string_view>
 
@@ -9,11 +9,13 @@
 
 constexpr std::uint64_t kMicrosPerMilli = 1000;
 
+// Appends a field with its name.
 void Append(std::string& text, std::string_view name, std::uint64_t value) {
   text.append(" ").append(name).append("=").append(std::to_string(value));
 }
 
-void Open(std::string& text, std::string_view action, std::int64_t node) {
+// Begins the line of an action.
+void BeginAction(std::string& text, std::string_view action, std::int64_t node) {
   text.append(action).append(" nodeId=").append(std::to_string(node));
 }
 
@@ -21,77 +23,77 @@
 
 std::string FormatMillis(Micros time) {
   const std::int64_t micros = time.count();
-  const std::uint64_t size =
+  const std::uint64_t magnitude =
       micros < 0 ? 0 - static_cast<std::uint64_t>(micros) : static_cast<std::uint64_t>(micros);
   std::string text = micros < 0 ? "-" : "";
-  text.append(std::to_string(size / kMicrosPerMilli)).append(".");
-  return text.append(std::to_string(kMicrosPerMilli + size % kMicrosPerMilli).substr(1));
+  text.append(std::to_string(magnitude / kMicrosPerMilli)).append(".");
+  return text.append(std::to_string(kMicrosPerMilli + magnitude % kMicrosPerMilli).substr(1));
 }
 
 void Encoder::Send(std::int64_t node, MessageId id, std::string_view endpoint, Micros timeout) {
-  Open(text_, "pass_on", node);
+  BeginAction(text_, "pass_on", node);
   Append(text_, "opId", id);
   text_.append(" endpoint=").append(endpoint).append(" cap=").append(FormatMillis(timeout)).append("\n");
 }
 
 void Encoder::Refuse(std::int64_t node, MessageId id, Micros not_before) {
-  Open(text_, "not_now", node);
+  BeginAction(text_, "not_now", node);
   Append(text_, "opId", id);
   if (not_before > Micros(0)) text_.append(" notBeforeFor=").append(FormatMillis(not_before));
   text_.append("\n");
 }
 
 void Encoder::Fail(std::int64_t node, MessageId id) {
-  Open(text_, "finish_error", node);
+  BeginAction(text_, "finish_error", node);
   Append(text_, "opId", id);
   text_.append("\n");
 }
 
 void Encoder::Probe(std::int64_t node, std::string_view endpoint) {
-  Open(text_, "poll", node);
+  BeginAction(text_, "poll", node);
   text_.append(" endpoint=").append(endpoint).append("\n");
 }
 
 void Encoder::Sleep(std::int64_t node, Micros at, std::uint64_t token) {
-  Open(text_, "sleep", node);
+  BeginAction(text_, "sleep", node);
   text_.append(" at=").append(FormatMillis(at));
   Append(text_, "cookie", token);
   text_.append("\n");
 }
 
 void Encoder::Watch(std::int64_t node, bool enable) {
-  Open(text_, "stream_changes", node);
+  BeginAction(text_, "stream_changes", node);
   text_.append(enable ? " enable=1\n" : " enable=0\n");
 }
 
 void Encoder::Reload(std::int64_t node) {
-  Open(text_, "reload", node);
+  BeginAction(text_, "reload", node);
   text_.append("\n");
 }
 
 void Encoder::Cancel(std::int64_t node, MessageId id, int attempt) {
-  Open(text_, "recall", node);
+  BeginAction(text_, "recall", node);
   Append(text_, "opId", id);
   text_.append(" go=").append(std::to_string(attempt)).append("\n");
 }
 
 void Encoder::CloseIdle(std::int64_t node, std::string_view endpoint) {
-  Open(text_, "drop_conns", node);
+  BeginAction(text_, "drop_conns", node);
   text_.append(" endpoint=").append(endpoint).append("\n");
 }
 
 void Encoder::Tell(std::int64_t node, std::int64_t peer, std::string_view base64) {
-  Open(text_, "memo_to", node);
+  BeginAction(text_, "memo_to", node);
   text_.append(" dst=").append(std::to_string(peer)).append(" data=").append(base64).append("\n");
 }
 
 void Encoder::Log(std::int64_t node, std::string_view text) {
-  Open(text_, "say_log", node);
+  BeginAction(text_, "say_log", node);
   text_.append(" reasonText=").append(text).append("\n");
 }
 
 void Encoder::Crash(std::int64_t node, std::string_view text) {
-  Open(text_, "crash", node);
+  BeginAction(text_, "crash", node);
   text_.append(" reasonText=").append(text).append("\n");
 }
 
--- a/src/wire/fields.cpp
+++ b/src/wire/fields.cpp
@@ -12,6 +12,7 @@
 constexpr double kMicrosPerMilli = 1000;
 constexpr double kLargestMillis = 1e14;  // fits 64 bits of microseconds with room for sums
 
+// Converts the whole text, or returns nullopt.
 template <typename T>
 std::optional<T> Parse(std::string_view text) {
   T value{};
--- a/src/wire/settings.h
+++ b/src/wire/settings.h
@@ -1,4 +1,4 @@
-// The settings that a configure event carries, as the module's plain types.
+// Reads the settings that a configure event carries into the decision engine's types.
 #pragma once
 
 #include "brain.h"
@@ -6,6 +6,7 @@
 
 namespace indigosaddle::wire {
 
+// Missing fields get defaults. Throws WireError on a malformed value.
 Settings ReadSettings(const Fields& fields);
 
 }  // namespace indigosaddle::wire
--- a/src/wirehost/main.cpp
+++ b/src/wirehost/main.cpp
@@ -1,3 +1,5 @@
+// Entry point of the program that the simulator starts: serves its text protocol on standard input and
+// output.
 #include <iostream>
 
 #include "wirehost/wire_host.h"
--- a/tests/codec_bad_input_test.cpp
+++ b/tests/codec_bad_input_test.cpp
@@ -1,4 +1,4 @@
-// The wire's codec on malformed input: the line, the field and what was expected.
+// Malformed input to the decoder: the error names the line, the field and what was expected.
 #include <gtest/gtest.h>
 
 #include <sstream>
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,4 @@
-// The wire's codec: every event and action, odd but legal input, and what is malformed.
+// The decoder of the simulator's protocol: every event, and unusual but legal input.
 #include "wire/codec.h"
 
 #include <gtest/gtest.h>
@@ -65,7 +65,7 @@
     EXPECT_EQ(o.attempt, 2);
     EXPECT_EQ(o.latency, Micros(18500));
     EXPECT_FALSE(o.last);
-    EXPECT_EQ(o.wait, code == 503 ? Micros(250000) : Micros(0));  // the note of a 410 is no wait
+    EXPECT_EQ(o.wait, code == 503 ? Micros(250000) : Micros(0));  // the note of a 410 is no Retry-After
     EXPECT_LT(o.load.limit, 0);
   }
 }
@@ -88,7 +88,7 @@
   EXPECT_EQ(Only<Announce>("announce nodeId=3 mode=failed epoch=1").entries, nullptr);
 }
 
-TEST(Decode, ListNumbersAreReusedInOrderOfEvents) {
+TEST(Decode, AListNumberRefersToItsLatestRegistration) {
   const auto batches = DecodeAll(
       "turn moment=1\n"
       "register bank=0 items=1\n"
@@ -115,10 +115,10 @@
   EXPECT_EQ(list(0, 1).entries->at(1).state, EndpointState::kGone);
   EXPECT_EQ(list(0, 2).mode, ListMode::kChanges);
   EXPECT_TRUE(list(0, 2).entries->empty());
-  EXPECT_EQ(list(1, 0).entries->size(), 2U);  // the later list of that number
+  EXPECT_EQ(list(1, 0).entries->size(), 2U);  // the list registered last under that number
 }
 
-TEST(Decode, SettingsAsTheWireWritesThem) {
+TEST(Decode, SettingsWithAllFields) {
   const auto c = Only<Configure>(
       "configure nodeId=3 randomSeed=5138197539985895 balancers=2 caps.attemptsCap=12 caps.maxOpen=165 "
       "caps.idleClose=15000.0 caps.maxRetryAfter=2000.0 classes.count=2 classes.0.aim=2500.0 "
@@ -171,7 +171,7 @@
   EXPECT_DOUBLE_EQ(s.tenants[1].quota_per_second, 6);
 }
 
-TEST(Decode, WhatTheListSaysOfLimitsAndWhetherAdviceIsHeard) {
+TEST(Decode, WeightKindsRetryAdviceAndEndpointWeights) {
   EXPECT_EQ(Only<Configure>("configure nodeId=0 weightKind=nominal").settings.weights, Weights::kNominal);
   EXPECT_EQ(Only<Configure>("configure nodeId=0 weightKind=rough").settings.weights, Weights::kRough);
   EXPECT_EQ(Only<Configure>("configure nodeId=0 weightKind=off").settings.weights, Weights::kNone);
@@ -186,7 +186,7 @@
   EXPECT_DOUBLE_EQ(entries.at(1).weight, 0);
 }
 
-TEST(Decode, SettingsMayAllBeAbsent) {
+TEST(Decode, MissingSettingsGetDefaults) {
   const Settings s = Only<Configure>("configure nodeId=0").settings;
   EXPECT_EQ(s.weights, Weights::kNone);
   EXPECT_TRUE(s.retry_advice);
@@ -196,7 +196,7 @@
   EXPECT_EQ(s.call_slots, 0);
 }
 
-TEST(Decode, UnknownEventsAreNotedOnceAndPassedOver) {
+TEST(Decode, UnknownEventsAreNotedOnceAndSkipped) {
   std::string notes;
   const auto batches = DecodeAll(
       "turn moment=1\nomen nodeId=1 x=2\nomen nodeId=1\nstreaming nodeId=1 opId=1 go=0 endpoint=e "
--- a/tests/encoder_test.cpp
+++ b/tests/encoder_test.cpp
@@ -1,4 +1,4 @@
-// The module's actions as text of the bench's wire.
+// The decision engine's actions as text of the simulator's protocol.
 #include <gtest/gtest.h>
 
 #include <sstream>
--- a/tests/wire_host_test.cpp
+++ b/tests/wire_host_test.cpp
@@ -1,4 +1,4 @@
-// The host of instances on the wire: starts, stops, dispatch and the exit status.
+// The host of instances on the simulator's protocol: starts, kills, dispatch and the exit status.
 #include "wirehost/wire_host.h"
 
 #include <gtest/gtest.h>
@@ -40,7 +40,7 @@
   return "pass_on nodeId=" + std::to_string(node) + " opId=" + std::to_string(id) + " endpoint=a:1";
 }
 
-TEST(Host, AnswersEachBatchAndEndsWell) {
+TEST(Host, EachBatchGetsAReplyAndEndOfInputExitsWith0) {
   const Result r = Play("turn moment=1\neob\nturn moment=2\neob\n");
   EXPECT_EQ(r.status, 0);
   EXPECT_EQ(r.out, "ack\nack\n");
@@ -54,18 +54,18 @@
   EXPECT_EQ(r.out.find("nodeId=1"), std::string::npos);
 }
 
-TEST(Host, KillForgetsAndRestartInOneBatchBeginsEmpty) {
+TEST(Host, ARestartAfterAKillInOneBatchBeginsWithoutState) {
   const Result r = Play("turn moment=1000\n" + Configure(1) + Inbound(1, 5) + "eob\nturn moment=1001\n" +
                         Inbound(1, 6) + "kill nodeId=1\n" + Configure(1) + "eob\nturn moment=1002\n" +
                         "settled nodeId=1 opId=5 go=0 endpoint=a:1 status=502\n" + Inbound(1, 7) + "eob\n");
   EXPECT_EQ(r.status, 0);
   EXPECT_NE(r.out.find(Sent(1, 5)), std::string::npos);
-  EXPECT_EQ(r.out.find(Sent(1, 6)), std::string::npos);  // taken and killed in one batch
+  EXPECT_EQ(r.out.find(Sent(1, 6)), std::string::npos);  // enqueued and killed in one batch
   EXPECT_NE(r.out.find(Sent(1, 7)), std::string::npos);
-  EXPECT_EQ(r.out.find(Sent(1, 5)), r.out.rfind(Sent(1, 5)));  // not sent again by the new life
+  EXPECT_EQ(r.out.find(Sent(1, 5)), r.out.rfind(Sent(1, 5)));  // not sent again after the restart
 }
 
-TEST(Host, EventsOfInstancesNotRunningAreNotedOnce) {
+TEST(Host, EventsForInstancesNotRunningAreNotedOnce) {
   const Result r = Play("turn moment=1\n" + Inbound(9, 1) + Inbound(9, 2) + "kill nodeId=9\neob\n");
   EXPECT_EQ(r.status, 0);
   EXPECT_EQ(r.out, "ack\n");
@@ -76,7 +76,7 @@
   const Result r = Play("turn moment=1\neob\nturn moment=2\n" + Configure(1) + Inbound(1, 1) +
                         "inbound nodeId=1 opId=zz giveUpAt=1 toDest=7\neob\n");
   EXPECT_EQ(r.status, 2);
-  EXPECT_EQ(r.out, "ack\n");  // of the first batch alone
+  EXPECT_EQ(r.out, "ack\n");  // of the first batch only
   EXPECT_EQ(r.err, "indigosaddle_wirehost: batch line 7: field 'opId': expected a whole number from 0 up\n");
 }
 
