--- a/src/brain/connection_trust.h
+++ b/src/brain/connection_trust.h
@@ -148,6 +148,7 @@
 
   // Records that the endpoint has sent unsolicited data. Returns true if all endpoints become suspect by it.
   bool ReportUnsolicitedData(const EndpointId& endpoint, Micros now);
+  // Whether the endpoint, or every endpoint, is suspect at `now`.
   bool IsSuspect(const EndpointId& endpoint, Micros now) const;
   // Whether all endpoints are suspect because of a common cause.
   bool AllSuspect(Micros now) const { return now < all_until_; }
@@ -156,7 +157,7 @@
 
  private:
   std::map<EndpointId, Micros> until_;  // when each endpoint stops being suspect
-  Micros all_until_{Micros::min()};
+  Micros all_until_{Micros::min()};     // when the suspicion of all endpoints ends
 };
 
 }  // namespace indigosaddle
--- a/src/brain/lifecycle.h
+++ b/src/brain/lifecycle.h
@@ -83,9 +83,13 @@
   // Times of a planned shutdown, counted from the signal. SIGKILL follows 3.7 s after the signal at the
   // earliest: the end of intake leaves room for six delays of 0.15 s in a row, the end of the process for
   // three.
+  // Clients are disconnected from then on (kDisconnecting).
   static constexpr Micros kDisconnectAfter = std::chrono::milliseconds(2600);
+  // Intake ends (kRejecting).
   static constexpr Micros kRejectAfter = std::chrono::milliseconds(2800);
+  // Clients that are still connected are closed.
   static constexpr Micros kCloseAfter = std::chrono::milliseconds(3050);
+  // The process ends, whatever is still in flight.
   static constexpr Micros kEndAfter = std::chrono::milliseconds(3200);
   // With a successor running, the old process accepts messages for this long, and begins only calls that
   // should end within it.
@@ -141,10 +145,13 @@
 
   // Since the start of the process.
   const ActionCounts& denied() const { return all_denied_; }
+  // Actions that were done although the table forbids them.
   std::uint64_t violations() const { return violations_; }
 
  private:
+  // Whether the table and the ownership of calls allow the action in the current phase.
   bool Allows(Action action) const;
+  // Makes the transition, resets the phase's counts and calls the observer.
   void Enter(Phase phase, PhaseCause cause, Micros now);
 
   Observer observer_;
--- a/src/brain/repeat_rules.h
+++ b/src/brain/repeat_rules.h
@@ -72,6 +72,7 @@
 
   // The rules for a message of this class. An unknown class gets the strictest rules, as unsure.
   ApplicableRules RulesFor(const std::string& message_class, const EnqueueFacts& enqueue) const;
+  // For saving and merging.
   const Spans& spans() const { return spans_; }
 
  private:
--- a/src/wire/fields.h
+++ b/src/wire/fields.h
@@ -20,6 +20,7 @@
 
   // The field's text as it stands, or nullopt if the field is missing.
   std::optional<std::string_view> Find(std::string_view name) const;
+  // The field's text, which may not be empty.
   std::string_view Text(std::string_view name) const;
   std::int64_t Integer(std::string_view name) const;
   std::int64_t Integer(std::string_view name, std::int64_t absent) const;
@@ -40,6 +41,7 @@
   int line() const { return line_; }
 
  private:
+  // Convert `text`, a value of the field `name`.
   double ToNumber(std::string_view name, std::string_view text) const;
   bool ToFlag(std::string_view name, std::string_view text) const;
 
--- a/tests/codec_bad_input_test.cpp
+++ b/tests/codec_bad_input_test.cpp
@@ -26,7 +26,7 @@
 
 struct BadCase {
   const char* text;
-  const char* wanted;
+  const char* expected_error;
 };
 
 class BadInput : public ::testing::TestWithParam<BadCase> {};
@@ -36,7 +36,7 @@
     DecodeAll(GetParam().text);
     FAIL() << "accepted: " << GetParam().text;
   } catch (const WireError& error) {
-    EXPECT_STREQ(error.what(), GetParam().wanted);
+    EXPECT_STREQ(error.what(), GetParam().expected_error);
   }
 }
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -19,7 +19,7 @@
 }
 
 template <typename T>
-T Only(const std::string& line) {
+T DecodeOne(const std::string& line) {
   const auto batches = DecodeAll("turn moment=1.5\n" + line + "\neob\n");
   return std::get<T>(batches.at(0).events.at(0).body);
 }
@@ -33,7 +33,7 @@
 }
 
 TEST(Decode, MessageWithAllFieldsInAnyOrder) {
-  const auto m = Only<Message>(
+  const auto m = DecodeOne<Message>(
       "inbound toDest=57 options=1 nodeId=3 giveUpAt=8652.25 opId=1564119492 tierClass=2 clientGroup=1 "
       "subject=91f03b7c55d20a64 sizeHint=12.0 someday=new");
   EXPECT_EQ(m.id, 1564119492U);
@@ -45,7 +45,7 @@
 }
 
 TEST(Decode, MessageWithOptionalFieldsAbsent) {
-  const auto m = Only<Message>("inbound nodeId=3 opId=5 giveUpAt=10 toDest=57.0");
+  const auto m = DecodeOne<Message>("inbound nodeId=3 opId=5 giveUpAt=10 toDest=57.0");
   EXPECT_EQ(m.message_class, 0);
   EXPECT_EQ(m.tenant, 0);
   EXPECT_EQ(m.key, "");
@@ -58,9 +58,9 @@
                                                      {502, Result::kNoConnection}, {598, Result::kReset},
                                                      {499, Result::kCancelled},    {410, Result::kNotSent}};
   for (const auto& [code, result] : codes) {
-    const auto o =
-        Only<Outcome>("settled nodeId=3 opId=5 go=2 endpoint=10.0.0.1:80 waitTime=18.5 note=250 status=" +
-                      std::to_string(code));
+    const auto o = DecodeOne<Outcome>(
+        "settled nodeId=3 opId=5 go=2 endpoint=10.0.0.1:80 waitTime=18.5 note=250 status=" +
+        std::to_string(code));
     EXPECT_EQ(o.result, result);
     EXPECT_EQ(o.attempt, 2);
     EXPECT_EQ(o.latency, Micros(18500));
@@ -71,21 +71,22 @@
 }
 
 TEST(Decode, LoadReport) {
-  const auto o =
-      Only<Outcome>("settled nodeId=3 opId=5 go=0 endpoint=e status=200 last=1 gauge=x0:0.4,x1:1.25,other:3");
+  const auto o = DecodeOne<Outcome>(
+      "settled nodeId=3 opId=5 go=0 endpoint=e status=200 last=1 gauge=x0:0.4,x1:1.25,other:3");
   EXPECT_TRUE(o.last);
   EXPECT_DOUBLE_EQ(o.load.left, 0.4);
   EXPECT_DOUBLE_EQ(o.load.limit, 1.25);
 }
 
 TEST(Decode, OtherEvents) {
-  EXPECT_EQ(Only<Reminder>("reminder nodeId=3 cookie=9223372036854775807").token, 9223372036854775807U);
-  EXPECT_EQ(Only<Withdrawn>("lapsed nodeId=3 opId=9").id, 9U);
-  Only<Kill>("kill nodeId=3");
-  const auto probe = Only<ProbeResult>("status_back nodeId=3 endpoint=e status=502 waitTime=3 gauge=x1:2");
+  EXPECT_EQ(DecodeOne<Reminder>("reminder nodeId=3 cookie=9223372036854775807").token, 9223372036854775807U);
+  EXPECT_EQ(DecodeOne<Withdrawn>("lapsed nodeId=3 opId=9").id, 9U);
+  DecodeOne<Kill>("kill nodeId=3");
+  const auto probe =
+      DecodeOne<ProbeResult>("status_back nodeId=3 endpoint=e status=502 waitTime=3 gauge=x1:2");
   EXPECT_EQ(probe.result, Result::kNoConnection);
   EXPECT_DOUBLE_EQ(probe.load.limit, 2);
-  EXPECT_EQ(Only<Announce>("announce nodeId=3 mode=failed epoch=1").entries, nullptr);
+  EXPECT_EQ(DecodeOne<Announce>("announce nodeId=3 mode=failed epoch=1").entries, nullptr);
 }
 
 TEST(Decode, AListNumberRefersToItsLatestRegistration) {
@@ -119,7 +120,7 @@
 }
 
 TEST(Decode, SettingsWithAllFields) {
-  const auto c = Only<Configure>(
+  const auto c = DecodeOne<Configure>(
       "configure nodeId=3 randomSeed=5138197539985895 balancers=2 caps.attemptsCap=12 caps.maxOpen=165 "
       "caps.idleClose=15000.0 caps.maxRetryAfter=2000.0 classes.count=2 classes.0.aim=2500.0 "
       "classes.0.deadline=20000.0 classes.0.effect=idempotency_key classes.0.group=zone "
@@ -172,10 +173,11 @@
 }
 
 TEST(Decode, WeightKindsRetryAdviceAndEndpointWeights) {
-  EXPECT_EQ(Only<Configure>("configure nodeId=0 weightKind=nominal").settings.weights, Weights::kNominal);
-  EXPECT_EQ(Only<Configure>("configure nodeId=0 weightKind=rough").settings.weights, Weights::kRough);
-  EXPECT_EQ(Only<Configure>("configure nodeId=0 weightKind=off").settings.weights, Weights::kNone);
-  EXPECT_FALSE(Only<Configure>("configure nodeId=0 caps.retryAfter=false").settings.retry_advice);
+  EXPECT_EQ(DecodeOne<Configure>("configure nodeId=0 weightKind=nominal").settings.weights,
+            Weights::kNominal);
+  EXPECT_EQ(DecodeOne<Configure>("configure nodeId=0 weightKind=rough").settings.weights, Weights::kRough);
+  EXPECT_EQ(DecodeOne<Configure>("configure nodeId=0 weightKind=off").settings.weights, Weights::kNone);
+  EXPECT_FALSE(DecodeOne<Configure>("configure nodeId=0 caps.retryAfter=false").settings.retry_advice);
   const auto batches = DecodeAll(
       "turn moment=1.5\nregister bank=0 items=2\n"
       "row endpoint=a:1 destination=5 state=ready heft=4.5\nrow endpoint=b:1 destination=6 state=ready "
@@ -187,7 +189,7 @@
 }
 
 TEST(Decode, MissingSettingsGetDefaults) {
-  const Settings s = Only<Configure>("configure nodeId=0").settings;
+  const Settings s = DecodeOne<Configure>("configure nodeId=0").settings;
   EXPECT_EQ(s.weights, Weights::kNone);
   EXPECT_TRUE(s.retry_advice);
   EXPECT_EQ(s.price_handshake, 0);
