--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -15,9 +15,9 @@
   if (!enqueue.tenant.empty() && !config_.tenants.contains(enqueue.tenant)) {
     return server_.Reply(connection, command, "-ERR unknown tenant\r\n");
   }
-  const HandIn hand_in{enqueue.begun, enqueue.time_left, enqueue.handed_in_before,
-                       !enqueue.idempotency_key.empty()};
-  const BirthRules born = rules_.RulesFor(enqueue.message_class, hand_in);
+  const EnqueueFacts hand_in{enqueue.begun, enqueue.time_left, enqueue.handed_in_before,
+                             !enqueue.idempotency_key.empty()};
+  const ApplicableRules born = rules_.RulesFor(enqueue.message_class, hand_in);
   if (!born.sure) {
     ++unsure_rules_;
     log_.Write(base::kRulesUnsure, enqueue.id, enqueue.message_class, Describe(born.rules));
@@ -79,7 +79,7 @@
 void Node::OnNoticeUnreadable(std::string_view line) { log_.Write(base::kNoticeUnreadable, line); }
 
 Action Node::CallAction(const state::Owed& owed) {
-  return owed.past.attempts > 1 ? Action::kRepeat : Action::kBegin;
+  return owed.past.attempts > 1 ? Action::kRepeatCall : Action::kBeginFirstCall;
 }
 
 // Before a call's first byte: what binds it still, and its record on the disk.
