--- a/src/cli/journal.cpp
+++ b/src/cli/journal.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "cli/cli.h"
-#include "state/ending.h"
+#include "state/attempt_result.h"
 
 namespace indigosaddle::cli {
 namespace {
--- a/src/net/call_answer.cpp
+++ b/src/net/call_answer.cpp
@@ -5,15 +5,16 @@
 namespace indigosaddle::net {
 namespace {
 
-bool IsRefusal(state::Ending ending) {
-  return !state::MayHaveRun(state::MeaningOf(ending).result) && !state::MeaningOf(ending).over;
+bool IsRefusal(state::AttemptResult ending) {
+  return !state::MayHaveRun(state::MeaningOf(ending).result) && !state::MeaningOf(ending).message_done;
 }
 
 // A 429 tells a wait, whether or not it can be read; a 503 tells the one that it has.
 Micros ToldWait(const HttpReader& answer) {
-  const state::Ending ending = state::EndingOf(answer.status(), answer.header("x-no-slot") == "1");
-  const bool tells = ending == state::Ending::kToldToWait ||
-                     (ending == state::Ending::kTurnedAway && answer.has("x-retry-in-ms"));
+  const state::AttemptResult ending =
+      state::AttemptResultOfStatus(answer.status(), answer.header("x-no-slot") == "1");
+  const bool tells = ending == state::AttemptResult::kTooManyRequests ||
+                     (ending == state::AttemptResult::kUnavailable && answer.has("x-retry-in-ms"));
   return tells ? ParseWait(answer.header("x-retry-in-ms")) : Micros(0);
 }
 
@@ -26,12 +27,12 @@
   return ToldWait(reader);
 }
 
-ConnectionFacts CallPool::Connection::FactsOfAnswer(state::Ending ending, bool more_behind) const {
+ConnectionFacts CallPool::Connection::FactsOfAnswer(state::AttemptResult ending, bool more_behind) const {
   ConnectionFacts facts = Facts();
   facts.sent = sent_;
   facts.early = early_;
   facts.refusal = IsRefusal(ending);
-  facts.delivered = ending == state::Ending::kDelivered;
+  facts.delivered = ending == state::AttemptResult::kDelivered;
   facts.more_behind = more_behind;
   facts.held_up = held_up_;
   return facts;
@@ -48,7 +49,7 @@
 void CallPool::Connection::TakeRest(bool good) {
   if (!reader_.done() && good) return;
   const bool more_behind = reader_.done() && !good;
-  ConnectionFacts facts = FactsOfAnswer(state::Ending::kDelivered, more_behind);
+  ConnectionFacts facts = FactsOfAnswer(state::AttemptResult::kDelivered, more_behind);
   facts.keep_alive = good && reader_.keep_alive();
   if (more_behind) pool_.Said(*this, Distrust::kMoreBehind, last_read_);
   pool_.RestEnded(*this, Judge(facts, ConnectionUse::kKeep));
@@ -77,23 +78,25 @@
   reader_.TakeEnd();
   if (reader_.done()) return Answered(false, false);
   if (reader_.status() == 200) return Spoilt();
-  if (begun_) return End(state::Ending::kBrokenMidAnswer, Distrust::kOtherSide);
-  End(sent_ ? state::Ending::kBrokenAfterSent : state::Ending::kBrokenBeforeSent, Distrust::kOtherSide);
+  if (begun_) return End(state::AttemptResult::kBrokenMidAnswer, Distrust::kOtherSide);
+  End(sent_ ? state::AttemptResult::kBrokenAfterSent : state::AttemptResult::kBrokenBeforeSent,
+      Distrust::kOtherSide);
 }
 
 // An answer of which a part is missing, or not to be read. On a used connection it may be two halves.
 void CallPool::Connection::Spoilt() {
-  if (reader_.status() != 200) return End(state::Ending::kUnreadable, Distrust::kOtherSide);
-  ConnectionFacts facts = FactsOfAnswer(state::Ending::kDelivered, false);
+  if (reader_.status() != 200) return End(state::AttemptResult::kMalformedResponse, Distrust::kOtherSide);
+  ConnectionFacts facts = FactsOfAnswer(state::AttemptResult::kDelivered, false);
   facts.spoilt = true;
   const Distrust why = Judge(facts, ConnectionUse::kBelieveAnswer);
-  if (why != Distrust::kNone) return Disbelieve(why, state::Ending::kDelivered);
+  if (why != Distrust::kNone) return Disbelieve(why, state::AttemptResult::kDelivered);
   judged_ = true;
-  End(state::Ending::kDelivered, Distrust::kOtherSide);
+  End(state::AttemptResult::kDelivered, Distrust::kOtherSide);
 }
 
 void CallPool::Connection::Answered(bool more_behind, bool keep_alive) {
-  const state::Ending ending = state::EndingOf(reader_.status(), reader_.header("x-no-slot") == "1");
+  const state::AttemptResult ending =
+      state::AttemptResultOfStatus(reader_.status(), reader_.header("x-no-slot") == "1");
   ConnectionFacts facts = FactsOfAnswer(ending, more_behind);
   facts.keep_alive = keep_alive;
   const Distrust why = Judge(facts, ConnectionUse::kBelieveAnswer);
@@ -102,7 +105,7 @@
   CallResult result = ResultOf(ending);
   result.wait = ToldWait(reader_);
   result.load = ParseLoad(reader_.header("endpoint-load-metrics"));
-  if (life_.calls() > 1 && state::MeaningOf(ending).over) pool_.Believed(*this, serial_);
+  if (life_.calls() > 1 && state::MeaningOf(ending).message_done) pool_.Believed(*this, serial_);
   if (more_behind) pool_.Said(*this, Distrust::kMoreBehind, last_read_);
   const Distrust kept = Judge(facts, ConnectionUse::kKeep);
   const After after = kept != Distrust::kNone ? After::kClose
@@ -112,10 +115,11 @@
 }
 
 // The call ends as one that may have run, or that has never left. A wait binds whoever it was told to.
-void CallPool::Connection::Disbelieve(Distrust why, state::Ending said) {
+void CallPool::Connection::Disbelieve(Distrust why, state::AttemptResult said) {
   pool_.NotBelieved(*this, why, said);
   if (IsSign(why)) pool_.Said(*this, why, last_read_);
-  CallResult result = ResultOf(sent_ ? state::Ending::kUnreadable : state::Ending::kBrokenBeforeSent);
+  CallResult result =
+      ResultOf(sent_ ? state::AttemptResult::kMalformedResponse : state::AttemptResult::kBrokenBeforeSent);
   result.wait = ToldWait(reader_);
   pool_.Finished(*this, result, After::kClose, why);
 }
--- a/src/net/call_connection.cpp
+++ b/src/net/call_connection.cpp
@@ -64,13 +64,13 @@
   timeout_.Start(request.timeout);
   if (!connect) {
     if (const StartPermit permit = pool_.may_start_(serial_)) return Send(*permit);
-    failure_ = state::Ending::kNotStarted;
+    failure_ = state::AttemptResult::kNotStarted;
     return timeout_.Start(Micros(0));
   }
   if (const int error = stream_.Connect(dial_); error != 0) {
-    failure_ = error == UV_ECONNREFUSED ? state::Ending::kRefused
-               : LacksHere(error)       ? state::Ending::kNotStarted
-                                        : state::Ending::kNeverUp;
+    failure_ = error == UV_ECONNREFUSED ? state::AttemptResult::kConnectionRefused
+               : LacksHere(error)       ? state::AttemptResult::kNotStarted
+                                        : state::AttemptResult::kConnectFailed;
     return timeout_.Start(Micros(0));
   }
   if (pool_.limits_.connect_timeout > Micros(0)) phase_.Start(pool_.limits_.connect_timeout);
@@ -91,13 +91,15 @@
 
 void CallPool::Connection::OnConnected(int error) {
   phase_.Stop();
-  if (error != 0) return End(error == UV_ECONNREFUSED ? state::Ending::kRefused : state::Ending::kNeverUp);
+  if (error != 0)
+    return End(error == UV_ECONNREFUSED ? state::AttemptResult::kConnectionRefused
+                                        : state::AttemptResult::kConnectFailed);
   up_ = true;
   life_.Up(Now());
-  if (stream_.StartReading() != 0) return End(state::Ending::kBrokenBeforeSent);
+  if (stream_.StartReading() != 0) return End(state::AttemptResult::kBrokenBeforeSent);
   const StartPermit permit = pool_.may_start_(serial_);
   if (!permit)
-    return pool_.Finished(*this, ResultOf(state::Ending::kNotStarted), After::kKeep, Distrust::kNone);
+    return pool_.Finished(*this, ResultOf(state::AttemptResult::kNotStarted), After::kKeep, Distrust::kNone);
   Send(*permit);
 }
 
@@ -109,14 +111,14 @@
   if (why != Distrust::kNone) {
     if (why != Distrust::kUnread && why != Distrust::kWorn) pool_.Break(*this, why);
     if (const std::size_t bytes = stream_.unread(); bytes > 0) pool_.Said(*this, why, bytes);
-    failure_ = state::Ending::kBrokenBeforeSent;
+    failure_ = state::AttemptResult::kBrokenBeforeSent;
     return timeout_.Start(Micros(0));
   }
   life_.Call(Now());
   request_.timeout = std::max(Micros(0), request_.timeout - (Now() - began_));
   const int error = stream_.Write(FormatCall(std::exchange(request_, {})));
   if (error != 0) {  // known before any byte left: no part of the call was sent
-    failure_ = state::Ending::kBrokenBeforeSent;
+    failure_ = state::AttemptResult::kBrokenBeforeSent;
     return timeout_.Start(Micros(0));
   }
   held_up_ = Now() - looked_at > ConnectionLife::kLookHolds && stream_.unread() > 0;
@@ -133,7 +135,7 @@
 // Bytes may wait in the system for a peer that does not read.
 void CallPool::Connection::OnLastByteDue() {
   if (!in_call_ || !stream_.undelivered()) return;
-  End(sent_ ? state::Ending::kBrokenAfterSent : state::Ending::kBrokenBeforeSent);
+  End(sent_ ? state::AttemptResult::kBrokenAfterSent : state::AttemptResult::kBrokenBeforeSent);
 }
 
 void CallPool::Connection::Sent() {
@@ -143,26 +145,26 @@
 void CallPool::Connection::OnTimeout() {
   if (!in_call_) return;
   if (failure_) return End(*failure_);
-  if (!up_) return End(state::Ending::kNeverUp);
+  if (!up_) return End(state::AttemptResult::kConnectFailed);
   if (ReadFirst(timeout_, stream_)) return;
-  if (!sent_) return End(state::Ending::kBrokenBeforeSent);
+  if (!sent_) return End(state::AttemptResult::kBrokenBeforeSent);
   if (begun_) return Spoilt();
-  End(state::Ending::kTimedOut);
+  End(state::AttemptResult::kTimedOut);
 }
 
 void CallPool::Connection::OnPhaseOver() {
   if (state() == ConnectionState::kReadingRest) return pool_.RestEnded(*this, Distrust::kOtherSide);
   if (!in_call_) return;
-  if (!up_) return End(state::Ending::kNeverUp);
+  if (!up_) return End(state::AttemptResult::kConnectFailed);
   if (ReadFirst(phase_, stream_)) return;
   Spoilt();
 }
 
-void CallPool::Connection::End(state::Ending ending, Distrust why) {
+void CallPool::Connection::End(state::AttemptResult ending, Distrust why) {
   pool_.Finished(*this, ResultOf(ending), After::kClose, why);
 }
 
-CallResult CallPool::Connection::ResultOf(state::Ending ending) const {
+CallResult CallPool::Connection::ResultOf(state::AttemptResult ending) const {
   CallResult result;
   result.serial = serial_;
   result.ending = ending;
--- a/src/net/call_connection.h
+++ b/src/net/call_connection.h
@@ -32,7 +32,7 @@
 
   // The call's end comes later, through Finished, in every case.
   void Begin(const CallRequest& request, bool connect);
-  void EndUnstarted() { End(state::Ending::kNotStarted); }
+  void EndUnstarted() { End(state::AttemptResult::kNotStarted); }
   // Its call is over and has been told: the rest of the answer, or silence, comes next.
   void AwaitRest();
   void Settle();
@@ -56,14 +56,14 @@
   void TakeAnswer(bool good);
   void Answered(bool more_behind, bool keep_alive);
   void Spoilt();
-  void Disbelieve(Distrust why, state::Ending said);
-  void End(state::Ending ending, Distrust why = Distrust::kNone);
+  void Disbelieve(Distrust why, state::AttemptResult said);
+  void End(state::AttemptResult ending, Distrust why = Distrust::kNone);
 
   Micros Now() const { return pool_.loop_.Now(); }
   ConnectionState state() const { return life_.At(Now()); }
   ConnectionFacts Facts() const;
-  ConnectionFacts FactsOfAnswer(state::Ending ending, bool more_behind) const;
-  CallResult ResultOf(state::Ending ending) const;
+  ConnectionFacts FactsOfAnswer(state::AttemptResult ending, bool more_behind) const;
+  CallResult ResultOf(state::AttemptResult ending) const;
 
   CallPool& pool_;
   const std::string host_, dial_;
@@ -83,7 +83,7 @@
   bool early_ = false;    // the answer began before the call's last byte had left
   bool judged_ = false;   // the answer is believed
   std::size_t last_read_ = 0;
-  std::optional<state::Ending>
+  std::optional<state::AttemptResult>
       failure_;  // known when the call began; told by the timer, never from within Start
 };
 
--- a/src/net/call_pool.h
+++ b/src/net/call_pool.h
@@ -81,7 +81,7 @@
   // What was said unasked, and what follows of it (call_pool_trust.cpp).
   void Said(const Connection& connection, Distrust why, std::size_t bytes, Micros wait = Micros(0));
   void Believed(const Connection& connection, std::uint64_t serial);
-  void NotBelieved(const Connection& connection, Distrust why, state::Ending said);
+  void NotBelieved(const Connection& connection, Distrust why, state::AttemptResult said);
   void Break(const Connection& connection, Distrust why);
   void DoubtBeliefs(const std::string& host, bool all);
 
--- a/src/net/call_pool_trust.cpp
+++ b/src/net/call_pool_trust.cpp
@@ -33,7 +33,7 @@
   beliefs_.push_back({connection.host(), serial, now});
 }
 
-void CallPool::NotBelieved(const Connection& connection, Distrust why, state::Ending said) {
+void CallPool::NotBelieved(const Connection& connection, Distrust why, state::AttemptResult said) {
   ++counts_.not_believed;
   if (observer_ != nullptr)
     observer_->OnNotBelieved({connection.host(), connection.last_id(), connection.Note(), said, why});
--- a/src/net/call_reports.h
+++ b/src/net/call_reports.h
@@ -8,7 +8,7 @@
 
 #include "brain.h"
 #include "brain/connection_trust.h"
-#include "state/ending.h"
+#include "state/attempt_result.h"
 
 namespace indigosaddle::net {
 
@@ -23,7 +23,7 @@
 
 struct CallResult {
   std::uint64_t serial = 0;
-  state::Ending ending = state::Ending::kNotStarted;
+  state::AttemptResult ending = state::AttemptResult::kNotStarted;
   Micros latency{0}, wait{0};
   LoadReport load;
   ConnectionNote connection{};
@@ -43,7 +43,7 @@
 struct DisbelievedAnswer {
   std::string endpoint, id;
   ConnectionNote connection;
-  state::Ending said = state::Ending::kUnreadable;
+  state::AttemptResult said = state::AttemptResult::kMalformedResponse;
   Distrust why = Distrust::kNone;
 };
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -224,7 +224,7 @@
   bool stepped_in_phase_ = false;
   std::uint64_t passes_since_step_ = 0;  // of the loop, begun behind the first step of a stop in this phase
   Micros now_{0}, wake_at_{0};           // of the last turn; for the next, as the module asked
-  std::array<std::uint64_t, static_cast<std::size_t>(state::kLastEnding) + 1> endings_{};
+  std::array<std::uint64_t, static_cast<std::size_t>(state::kLastAttemptResult) + 1> endings_{};
   std::array<std::uint64_t, net::kClientEnds> client_ends_{};
   std::uint64_t unsure_rules_ = 0;  // messages whose birth several rules may bind
   std::uint64_t taken_ = 0, busy_ = 0, failed_ = 0, delivered_ = 0, returned_ = 0, given_up_ = 0;
--- a/src/node/node_figures.cpp
+++ b/src/node/node_figures.cpp
@@ -125,7 +125,7 @@
 }
 
 void Node::Report() {
-  const std::string calls = CountsByName<state::Ending>(endings_);
+  const std::string calls = CountsByName<state::AttemptResult>(endings_);
   log_.Write(base::kReport, taken_, busy_, failed_, state_.open(), state_.notices.size(),
              server_.connections(), pool_.connections(), pool_.opened(), state_.journal_size, calls,
              log_.dropped(), brain_->slow_start().recovering, brain_->slow_start().calls, WatchLosses(),
--- a/src/node/node_log.cpp
+++ b/src/node/node_log.cpp
@@ -105,7 +105,7 @@
   const state::Owed& owed = found->second;
   const auto attempt = static_cast<std::uint64_t>(owed.past.attempts);
   const std::string rules = Describe(owed.taken.rules);
-  if (result.ending == state::Ending::kDelivered) {
+  if (result.ending == state::AttemptResult::kDelivered) {
     log_.Write(base::kCallDelivered, owed.taken.id, owed.taken.destination, owed.endpoint, attempt,
                state::NameOf(result.ending), result.latency, result.wait, rules, result.connection.number,
                result.connection.calls, result.connection.age);
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -174,7 +174,7 @@
   const auto owed = state_.owed.find(e.serial);
   if (owed == state_.owed.end() || !May(CallAction(owed->second))) {
     const Micros none(0);
-    return Push(state::CallEnded{e.serial, state::Ending::kNotStarted, none, none, {}, loop_.Now()});
+    return Push(state::CallEnded{e.serial, state::AttemptResult::kNotStarted, none, none, {}, loop_.Now()});
   }
   pool_.Start({e.serial, std::move(e.dial), std::move(e.endpoint), std::move(e.id),
                std::move(e.idempotency_key), std::move(e.body), e.timeout, FirstCallOnly(e.serial)});
--- a/src/state/effects.h
+++ b/src/state/effects.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "brain.h"
-#include "state/ending.h"
+#include "state/attempt_result.h"
 #include "state/events.h"
 #include "state/journal.h"
 
--- a/src/state/events.h
+++ b/src/state/events.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "brain.h"
-#include "state/ending.h"
+#include "state/attempt_result.h"
 #include "state/journal.h"
 
 namespace indigosaddle::state {
@@ -54,7 +54,7 @@
 };
 struct CallEnded {
   Serial serial = 0;
-  Ending ending = Ending::kNotStarted;
+  AttemptResult attempt_result = AttemptResult::kNotStarted;
   Micros latency{0}, wait{0};
   LoadReport load;
   Micros at{0};
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -91,14 +91,14 @@
   void operator()(const CallEnded& e) {
     Owed* owed = keep_.Find(e.serial);
     if (owed == nullptr || !owed->out) return;
-    const Meaning meaning = MeaningOf(e.ending);
+    const AttemptMeaning meaning = MeaningOf(e.attempt_result);
     Outcome outcome;
     outcome.id = e.serial;
     outcome.attempt = owed->attempts_made - 1;
     outcome.endpoint = owed->endpoint;
     outcome.result = meaning.result;
     outcome.latency = e.latency;
-    outcome.last = meaning.over || owed->ended;
+    outcome.last = meaning.message_done || owed->ended;
     // An answer in the last moment may have come too late for its client, whose clock began before: the end
     // is told as well, which does no harm where it was in time.
     outcome.untold =
@@ -107,7 +107,7 @@
     outcome.load = e.load;
     effects_.emplace_back(TellOutcome{outcome});
     Record_(Settled{e.serial, meaning.result});
-    if (meaning.over) {
+    if (meaning.message_done) {
       if (!owed->ended) SayOver(*owed, meaning.result == Result::kOk ? Over::kDelivered : Over::kWithdrawn);
       Record_(Ended{e.serial, outcome.untold ? End::kFailed : End::kNothingOwed, Micros(0)});
     }
@@ -210,12 +210,12 @@
       effects_.emplace_back(TellWithdrawn{serial});
       // A send of this turn is over for the module as well, before its message is forgotten.
       if (state_.owed.at(serial).out)
-        (*this)(CallEnded{serial, Ending::kNotStarted, Micros(0), Micros(0), {}});
+        (*this)(CallEnded{serial, AttemptResult::kNotStarted, Micros(0), Micros(0), {}});
       Forget(serial);
     }
     for (Effect& effect : std::exchange(state_.after_write, {})) {
       if (const auto* call = std::get_if<StartCall>(&effect)) {
-        (*this)(CallEnded{call->serial, Ending::kNotStarted, Micros(0), Micros(0), {}});
+        (*this)(CallEnded{call->serial, AttemptResult::kNotStarted, Micros(0), Micros(0), {}});
       } else if (std::holds_alternative<CloseIdle>(effect)) {
         effects_.push_back(std::move(effect));
       }
--- a/tests/call_endings.h
+++ b/tests/call_endings.h
@@ -13,7 +13,7 @@
 
 namespace indigosaddle::testing {
 
-using state::Ending;
+using state::AttemptResult;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -59,7 +59,7 @@
     while (Clock::now() < end)
       uv_run(loop.raw(), UV_RUN_NOWAIT), std::this_thread::sleep_for(milliseconds(5));
   }
-  Ending RunToAnEnd() {
+  AttemptResult RunToAnEnd() {
     const std::size_t before = results.size();
     while (results.size() == before) loop.Run();
     return results.back().ending;
--- a/tests/call_pool_copies_test.cpp
+++ b/tests/call_pool_copies_test.cpp
@@ -44,7 +44,7 @@
 TEST_F(CallCopies, AnAnswerBehindABelievedOneDoubtsItsMessage) {
   const Socket socket = InLaterCall();
   ASSERT_TRUE(socket.Write(Answer(200)));  // a copy
-  EXPECT_EQ(RunToAnEnd(), Ending::kDelivered);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kDelivered);
   ASSERT_TRUE(socket.Write(Answer(503)));  // its own
   Pass();
   EXPECT_EQ(doubted, std::vector<std::uint64_t>{serial});
@@ -71,7 +71,7 @@
   bool closed = false;
   on_end = [&] { closed = Closed(socket); };
   ASSERT_TRUE(socket.Write(Answer(503)));
-  EXPECT_EQ(RunToAnEnd(), Ending::kTurnedAway);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kUnavailable);
   EXPECT_TRUE(closed);
 }
 
@@ -79,7 +79,7 @@
 TEST_F(CallCopies, OfTwoAnswersOnAUsedConnectionNeitherIsBelieved) {
   const Socket socket = InLaterCall();
   ASSERT_TRUE(socket.Write(Answer(200) + Answer(503)));
-  EXPECT_EQ(RunToAnEnd(), Ending::kUnreadable);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kMalformedResponse);
   EXPECT_EQ(not_believed, 1);
 }
 
@@ -87,7 +87,7 @@
 TEST_F(CallCopies, HalfACopyInFrontOfAnAnswerIsNoDelivery) {
   const Socket socket = InLaterCall();
   ASSERT_TRUE(socket.Write("HTTP/1.1 200 OK\r\nCont" + Answer(503)));
-  EXPECT_EQ(RunToAnEnd(), Ending::kUnreadable);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kMalformedResponse);
 }
 
 // Nor is it a sign: an endpoint that spoils its own answers says nothing twice.
@@ -95,7 +95,7 @@
   Socket socket = InLaterCall();
   ASSERT_TRUE(socket.Write("HTTP/1.1 200 OK\r\nCont"));
   socket.Close();
-  EXPECT_EQ(RunToAnEnd(), Ending::kUnreadable);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kMalformedResponse);
   EXPECT_EQ(not_believed, 1);
   EXPECT_EQ(unasked, 0);
 }
@@ -105,7 +105,7 @@
   const Socket socket = InLaterCall();
   const std::string wait = Answer(429, "X-Retry-In-Ms: 700\r\n");
   ASSERT_TRUE(socket.Write(Answer(200)));
-  EXPECT_EQ(RunToAnEnd(), Ending::kDelivered);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kDelivered);
   ASSERT_TRUE(socket.Write(wait));
   Pass();
   EXPECT_EQ(unasked_wait, milliseconds(700));
@@ -114,7 +114,7 @@
 TEST_F(CallCopies, AWaitInAnAnswerThatIsNotBelievedIsTold) {
   const Socket socket = InLaterCall();
   ASSERT_TRUE(socket.Write(Answer(429, "X-Retry-In-Ms: 700\r\n") + Answer(200)));
-  EXPECT_EQ(RunToAnEnd(), Ending::kUnreadable);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kMalformedResponse);
   EXPECT_EQ(results.back().wait, milliseconds(700));
 }
 
@@ -124,14 +124,14 @@
   Start();
   const Socket other = Accept();
   ASSERT_TRUE(other.Write(Answer(200) + Answer(200)));
-  EXPECT_EQ(RunToAnEnd(), Ending::kDelivered);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kDelivered);
   EXPECT_EQ(pool.suspects(), 1u);
   ASSERT_TRUE(used.Write(Answer(200)));
-  EXPECT_EQ(RunToAnEnd(), Ending::kUnreadable);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kMalformedResponse);
   Start();
   const Socket fresh = Accept();
   ASSERT_TRUE(fresh.Write(Answer(200)));
-  EXPECT_EQ(RunToAnEnd(), Ending::kDelivered);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kDelivered);
   EXPECT_EQ(pool.connections(), 0u);  // not kept
 }
 
@@ -141,7 +141,7 @@
   Start();
   Socket socket(accept4(listener.get(), nullptr, nullptr, SOCK_CLOEXEC));
   ASSERT_TRUE(socket.Write(Answer(200)));
-  EXPECT_EQ(RunToAnEnd(), Ending::kBrokenBeforeSent);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kBrokenBeforeSent);
   EXPECT_EQ(pool.written(), 0u);
 }
 
@@ -150,7 +150,7 @@
   Start();
   const Socket socket = Accept();
   ASSERT_TRUE(socket.Write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"));
-  EXPECT_EQ(RunToAnEnd(), Ending::kDelivered);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kDelivered);
   ASSERT_TRUE(socket.Write(Answer(200)));
   Pass();
   EXPECT_EQ(unasked, 1);
--- a/tests/call_pool_endings_test.cpp
+++ b/tests/call_pool_endings_test.cpp
@@ -14,7 +14,7 @@
 namespace indigosaddle::testing {
 namespace {
 
-using state::Ending;
+using state::AttemptResult;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -27,11 +27,12 @@
     Socket socket = Accept();
     ASSERT_TRUE(cut == 0 || socket.Write(line.substr(0, cut)));
     socket.Close();
-    const Ending ending = RunToAnEnd();
+    const AttemptResult ending = RunToAnEnd();
     if (cut == line.size()) {
-      EXPECT_EQ(ending, Ending::kDelivered);
+      EXPECT_EQ(ending, AttemptResult::kDelivered);
     } else {
-      EXPECT_TRUE(ending == Ending::kBrokenMidAnswer || ending == Ending::kBrokenAfterSent) << cut;
+      EXPECT_TRUE(ending == AttemptResult::kBrokenMidAnswer || ending == AttemptResult::kBrokenAfterSent)
+          << cut;
       EXPECT_TRUE(state::MayHaveRun(state::MeaningOf(ending).result)) << cut;
     }
   }
@@ -42,7 +43,7 @@
   Start();
   Socket socket = Accept();
   ASSERT_TRUE(socket.Write("HTTP/1.1 200 OK"));
-  EXPECT_EQ(RunToAnEnd(), Ending::kUnreadable);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kMalformedResponse);
 }
 
 // In the instant in which a call is over, and something else may be tried for its message, no connection with
@@ -54,8 +55,8 @@
     Socket socket = Accept();
     on_end = [&] { closed = Closed(socket); };
     ASSERT_TRUE(answer.empty() || socket.Write(answer));
-    const Ending ending = RunToAnEnd();
-    EXPECT_TRUE(ending == Ending::kUnreadable || ending == Ending::kTimedOut) << answer;
+    const AttemptResult ending = RunToAnEnd();
+    EXPECT_TRUE(ending == AttemptResult::kMalformedResponse || ending == AttemptResult::kTimedOut) << answer;
     EXPECT_TRUE(closed) << answer;
   }
   on_end = nullptr;
@@ -73,7 +74,7 @@
     ASSERT_TRUE(socket.Write("HTTP/1.1 2"));
     uv_run(loop.raw(), UV_RUN_NOWAIT);  // read: patience of 500 ms runs from here
     std::this_thread::sleep_for(milliseconds(900));
-    EXPECT_EQ(RunToAnEnd(), Ending::kUnreadable);
+    EXPECT_EQ(RunToAnEnd(), AttemptResult::kMalformedResponse);
     for (int step = 0; step < 10; ++step) uv_run(loop.raw(), UV_RUN_NOWAIT);
     EXPECT_EQ(results.size(), 1u);
     EXPECT_TRUE(Closed(socket));
@@ -86,11 +87,11 @@
   Start();
   Socket socket = Accept();
   ASSERT_TRUE(socket.Write(Answer(200)));
-  ASSERT_EQ(RunToAnEnd(), Ending::kDelivered);
+  ASSERT_EQ(RunToAnEnd(), AttemptResult::kDelivered);
   Settle();
   Start();  // written to the idle connection
   socket.Close();
-  EXPECT_EQ(RunToAnEnd(), Ending::kBrokenAfterSent);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kBrokenAfterSent);
   EXPECT_EQ(pool.opened(), 1u);
   pollfd another{listener.get(), POLLIN, 0};
   EXPECT_EQ(poll(&another, 1, 0), 0);  // nobody connected once more
@@ -101,13 +102,13 @@
   Start();
   Socket socket = Accept();
   ASSERT_TRUE(socket.Write(Answer(200)));
-  ASSERT_EQ(RunToAnEnd(), Ending::kDelivered);
+  ASSERT_EQ(RunToAnEnd(), AttemptResult::kDelivered);
   Settle();
   Start();
   ASSERT_TRUE(socket.Write("HTTP/1.1 200 O"));  // no answer to this call
   ReadCall(socket);
   ASSERT_TRUE(socket.Write(Answer(503)));
-  EXPECT_EQ(RunToAnEnd(), Ending::kUnreadable);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kMalformedResponse);
 }
 
 TEST_F(CallEndings, AnswersAndClosesTogether) {
@@ -116,7 +117,7 @@
     Socket socket = Accept();
     ASSERT_TRUE(socket.Write(Answer(status)));
     socket.Close();
-    EXPECT_EQ(RunToAnEnd(), state::EndingOf(status, false)) << status;
+    EXPECT_EQ(RunToAnEnd(), state::AttemptResultOfStatus(status, false)) << status;
   }
 }
 
@@ -125,7 +126,7 @@
   Start(milliseconds(300));
   Socket socket = Accept();
   ASSERT_TRUE(socket.Write("HTTP/1.1 102 Processing\r\n\r\n"));
-  EXPECT_EQ(RunToAnEnd(), Ending::kTimedOut);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kTimedOut);
   EXPECT_TRUE(Closed(socket));
 }
 
@@ -134,13 +135,13 @@
 TEST_F(CallEndings, WhatMayNotStartSendsNothing) {
   allowed = false;
   Start();
-  EXPECT_EQ(RunToAnEnd(), Ending::kNotStarted);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kNotStarted);
   Socket socket(accept4(listener.get(), nullptr, nullptr, SOCK_CLOEXEC));
   EXPECT_EQ(pool.connections(), 1u);
   EXPECT_EQ(asked, 1);
   Start();                        // on the idle connection
   EXPECT_EQ(results.size(), 1u);  // told later, never from within
-  EXPECT_EQ(RunToAnEnd(), Ending::kNotStarted);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kNotStarted);
   EXPECT_EQ(asked, 2);
   EXPECT_EQ(socket.Read(), "");
   EXPECT_EQ(pool.written(), 0u);
@@ -157,7 +158,7 @@
   const int millis = std::stoi(taken.substr(at + name.size()));
   EXPECT_GT(millis, 0);
   EXPECT_LE(millis, 700);
-  EXPECT_EQ(RunToAnEnd(), Ending::kTimedOut);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kTimedOut);
 }
 
 // The count by which a call is recorded as begun in its turn: only connections on which nothing lies.
@@ -193,7 +194,7 @@
     connect(waiting.back().get(), reinterpret_cast<sockaddr*>(&to), sizeof to);
   }
   pool.Start({++serial, "127.0.0.1:" + std::to_string(full_port), "s-1", "m", "", "body", milliseconds(300)});
-  EXPECT_EQ(RunToAnEnd(), Ending::kNeverUp);
+  EXPECT_EQ(RunToAnEnd(), AttemptResult::kConnectFailed);
   EXPECT_EQ(asked, 0);
   EXPECT_EQ(pool.written(), 0u);
 }
--- a/tests/call_pool_unread_test.cpp
+++ b/tests/call_pool_unread_test.cpp
@@ -15,7 +15,7 @@
 namespace indigosaddle::testing {
 namespace {
 
-using state::Ending;
+using state::AttemptResult;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -55,7 +55,7 @@
   int port = 0;
   Socket listener;
   Micros last_byte_within = Micros::max();
-  std::optional<Ending> ended;
+  std::optional<AttemptResult> ended;
   std::size_t came = 0;
   Clock::duration took{};
   net::CallPool pool;
@@ -63,7 +63,7 @@
 
 TEST_F(UnreadCall, ItsLastByteDoesNotLeaveBehindItsTimeOut) {
   Play(milliseconds(200));
-  EXPECT_EQ(ended, Ending::kTimedOut);
+  EXPECT_EQ(ended, AttemptResult::kTimedOut);
   EXPECT_GT(came, 0u);
   EXPECT_LT(came, kBody);
 }
@@ -71,7 +71,7 @@
 TEST_F(UnreadCall, ItsLastByteDoesNotLeaveBehindTheInstantThatBindsIt) {
   last_byte_within = milliseconds(150);
   Play(seconds(20));
-  EXPECT_EQ(ended, Ending::kBrokenAfterSent);  // all handed over: it may have run
+  EXPECT_EQ(ended, AttemptResult::kBrokenAfterSent);  // all handed over: it may have run
   EXPECT_LT(took, seconds(5));
   EXPECT_LT(came, kBody);
 }
--- a/tests/state_calls_test.cpp
+++ b/tests/state_calls_test.cpp
@@ -56,7 +56,7 @@
   play.Event_(CallBegins{serial});
   EXPECT_TRUE(play.state.rewrite_due);
   play.effects.clear();
-  play.End(serial, Ending::kNotStarted);  // as the pool says it
+  play.End(serial, AttemptResult::kNotStarted);  // as the pool says it
   ASSERT_EQ(play.All<TellOutcome>().size(), 1u);
   EXPECT_EQ(play.All<TellOutcome>()[0].outcome.result, Result::kNotSent);
   EXPECT_FALSE(play.state.owed.at(serial).past.may_have_run);
@@ -66,25 +66,25 @@
 }
 
 TEST(Reducer, EachEndingReachesTheModuleAsItsOutcome) {
-  for (int i = 0; i <= static_cast<int>(kLastEnding); ++i) {
-    const auto ending = static_cast<Ending>(i);
+  for (int i = 0; i <= static_cast<int>(kLastAttemptResult); ++i) {
+    const auto attempt_result = static_cast<AttemptResult>(i);
     Play play;
     const Serial serial = play.Owe("a");
     play.Send(serial);
     play.effects.clear();
-    play.Event_(CallEnded{serial, ending, milliseconds(9), milliseconds(30), {0.5, 8}});
+    play.Event_(CallEnded{serial, attempt_result, milliseconds(9), milliseconds(30), {0.5, 8}});
     play.Turn();
     const auto told = play.All<TellOutcome>();
-    ASSERT_EQ(told.size(), 1u) << NameOf(ending);
-    EXPECT_EQ(told[0].outcome.result, MeaningOf(ending).result);
-    EXPECT_EQ(told[0].outcome.last, MeaningOf(ending).over);
+    ASSERT_EQ(told.size(), 1u) << NameOf(attempt_result);
+    EXPECT_EQ(told[0].outcome.result, MeaningOf(attempt_result).result);
+    EXPECT_EQ(told[0].outcome.last, MeaningOf(attempt_result).message_done);
     EXPECT_EQ(told[0].outcome.attempt, 0);
     EXPECT_EQ(told[0].outcome.endpoint, "s-1");
     EXPECT_EQ(told[0].outcome.wait, milliseconds(30));
     EXPECT_EQ(told[0].outcome.load.limit, 8);
-    EXPECT_EQ(play.state.owed.empty(), MeaningOf(ending).over) << NameOf(ending);
+    EXPECT_EQ(play.state.owed.empty(), MeaningOf(attempt_result).message_done) << NameOf(attempt_result);
     EXPECT_TRUE(play.All<PostNotices>().empty());
-    play.End(serial, ending);  // a second end of the same call means nothing
+    play.End(serial, attempt_result);  // a second end of the same call means nothing
     EXPECT_EQ(play.All<TellOutcome>().size(), 1u);
   }
 }
@@ -99,7 +99,7 @@
     play.Begin(serial);
     play.effects.clear();
     const Micros at = play.state.owed.at(serial).taken.give_up_at - before;
-    play.Event_(CallEnded{serial, Ending::kDelivered, milliseconds(9), {}, {}, at});
+    play.Event_(CallEnded{serial, AttemptResult::kDelivered, milliseconds(9), {}, {}, at});
     play.Turn();
     const bool in_doubt = before <= milliseconds(50);
     ASSERT_EQ(play.All<TellOutcome>().size(), 1u);
@@ -163,7 +163,7 @@
   play.Turn();
   play.Event_(NoticesTaken{{serial}});
   play.effects.clear();
-  play.End(serial, Ending::kTimedOut);
+  play.End(serial, AttemptResult::kTimedOut);
   ASSERT_EQ(play.All<TellOutcome>().size(), 1u);
   EXPECT_TRUE(play.All<TellOutcome>()[0].outcome.last);
   EXPECT_TRUE(play.state.owed.empty());
--- a/tests/state_damage_test.cpp
+++ b/tests/state_damage_test.cpp
@@ -97,7 +97,7 @@
   const Serial serial = play.Owe("a");
   const std::size_t taken = play.journal.size();
   play.Begin(serial);
-  play.End(serial, Ending::kTimedOut);
+  play.End(serial, AttemptResult::kTimedOut);
   play.Turn();
   play.Owe("b");
   for (std::size_t at = taken; at < play.journal.size(); ++at) {
--- a/tests/state_journal_test.cpp
+++ b/tests/state_journal_test.cpp
@@ -12,49 +12,49 @@
 namespace indigosaddle::state {
 namespace {
 
-TEST(Ending, EachValueHasItsMeaning) {
-  const std::vector<std::tuple<Ending, Result, bool>> wanted = {
-      {Ending::kDelivered, Result::kOk, true},
-      {Ending::kError, Result::kError, false},
-      {Ending::kToldToWait, Result::kFull, false},
-      {Ending::kTurnedAway, Result::kFull, false},
-      {Ending::kNoSlot, Result::kNotSent, false},
-      {Ending::kNoAttemptsLeft, Result::kNotSent, false},
-      {Ending::kOver, Result::kNotSent, true},
-      {Ending::kOtherStatus, Result::kError, false},
-      {Ending::kUnreadable, Result::kGarbled, false},
-      {Ending::kRefused, Result::kNoConnection, false},
-      {Ending::kNeverUp, Result::kNoConnection, false},
-      {Ending::kBrokenBeforeSent, Result::kNoConnection, false},
-      {Ending::kBrokenAfterSent, Result::kReset, false},
-      {Ending::kBrokenMidAnswer, Result::kReset, false},
-      {Ending::kTimedOut, Result::kTimeout, false},
-      {Ending::kGivenUp, Result::kCancelled, false},
-      {Ending::kNotStarted, Result::kNotSent, false},
+TEST(AttemptResult, EachValueHasItsMeaning) {
+  const std::vector<std::tuple<AttemptResult, Result, bool>> wanted = {
+      {AttemptResult::kDelivered, Result::kOk, true},
+      {AttemptResult::kError, Result::kError, false},
+      {AttemptResult::kTooManyRequests, Result::kFull, false},
+      {AttemptResult::kUnavailable, Result::kFull, false},
+      {AttemptResult::kNoSlot, Result::kNotSent, false},
+      {AttemptResult::kNoAttemptsLeft, Result::kNotSent, false},
+      {AttemptResult::kGone, Result::kNotSent, true},
+      {AttemptResult::kOtherStatus, Result::kError, false},
+      {AttemptResult::kMalformedResponse, Result::kGarbled, false},
+      {AttemptResult::kConnectionRefused, Result::kNoConnection, false},
+      {AttemptResult::kConnectFailed, Result::kNoConnection, false},
+      {AttemptResult::kBrokenBeforeSent, Result::kNoConnection, false},
+      {AttemptResult::kBrokenAfterSent, Result::kReset, false},
+      {AttemptResult::kBrokenMidAnswer, Result::kReset, false},
+      {AttemptResult::kTimedOut, Result::kTimeout, false},
+      {AttemptResult::kCancelled, Result::kCancelled, false},
+      {AttemptResult::kNotStarted, Result::kNotSent, false},
   };
-  ASSERT_EQ(wanted.size(), static_cast<std::size_t>(kLastEnding) + 1);
+  ASSERT_EQ(wanted.size(), static_cast<std::size_t>(kLastAttemptResult) + 1);
   std::set<std::string_view> names;
-  for (const auto& [ending, result, over] : wanted) {
-    EXPECT_EQ(MeaningOf(ending).result, result) << NameOf(ending);
-    EXPECT_EQ(MeaningOf(ending).over, over) << NameOf(ending);
-    names.insert(NameOf(ending));
+  for (const auto& [attempt_result, result, over] : wanted) {
+    EXPECT_EQ(MeaningOf(attempt_result).result, result) << NameOf(attempt_result);
+    EXPECT_EQ(MeaningOf(attempt_result).message_done, over) << NameOf(attempt_result);
+    names.insert(NameOf(attempt_result));
   }
   EXPECT_EQ(names.size(), wanted.size());
 }
 
-TEST(Ending, EachStatusOfTheProtocol) {
-  EXPECT_EQ(EndingOf(200, false), Ending::kDelivered);
-  EXPECT_EQ(EndingOf(500, false), Ending::kError);
-  EXPECT_EQ(EndingOf(429, false), Ending::kToldToWait);
-  EXPECT_EQ(EndingOf(503, false), Ending::kTurnedAway);
-  EXPECT_EQ(EndingOf(503, true), Ending::kNoSlot);
-  EXPECT_EQ(EndingOf(504, false), Ending::kNoAttemptsLeft);
-  EXPECT_EQ(EndingOf(410, false), Ending::kOver);
+TEST(AttemptResult, EachStatusOfTheProtocol) {
+  EXPECT_EQ(AttemptResultOfStatus(200, false), AttemptResult::kDelivered);
+  EXPECT_EQ(AttemptResultOfStatus(500, false), AttemptResult::kError);
+  EXPECT_EQ(AttemptResultOfStatus(429, false), AttemptResult::kTooManyRequests);
+  EXPECT_EQ(AttemptResultOfStatus(503, false), AttemptResult::kUnavailable);
+  EXPECT_EQ(AttemptResultOfStatus(503, true), AttemptResult::kNoSlot);
+  EXPECT_EQ(AttemptResultOfStatus(504, false), AttemptResult::kNoAttemptsLeft);
+  EXPECT_EQ(AttemptResultOfStatus(410, false), AttemptResult::kGone);
   for (int status : {201, 204, 301, 400, 404, 502, 599})
-    EXPECT_EQ(EndingOf(status, false), Ending::kOtherStatus);
+    EXPECT_EQ(AttemptResultOfStatus(status, false), AttemptResult::kOtherStatus);
 }
 
-TEST(Ending, UnsureMayHaveRun) {
+TEST(AttemptResult, UnsureMayHaveRun) {
   for (Result proven : {Result::kFull, Result::kNoConnection, Result::kNotSent})
     EXPECT_FALSE(MayHaveRun(proven));
   for (Result unsure : {Result::kOk, Result::kError, Result::kTimeout, Result::kReset, Result::kCancelled,
--- a/tests/state_play.h
+++ b/tests/state_play.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "state/ending.h"
+#include "state/attempt_result.h"
 #include "state/journal.h"
 #include "state/reducer.h"
 
@@ -84,7 +84,9 @@
     Send(serial);
     Event_(CallBegins{serial});
   }
-  void End(Serial serial, Ending ending) { Event_(CallEnded{serial, ending, milliseconds(9), {}, {}}); }
+  void End(Serial serial, AttemptResult attempt_result) {
+    Event_(CallEnded{serial, attempt_result, milliseconds(9), {}, {}});
+  }
 
   template <typename T>
   std::vector<T> All() {
--- a/tests/state_recent_test.cpp
+++ b/tests/state_recent_test.cpp
@@ -13,7 +13,8 @@
     const Serial serial = play.state.last_serial;
     play.Event_(WantsSend{serial, "s-1", seconds(1), Micros(0), true});
     play.Turn();
-    play.Event_(CallEnded{serial, Ending::kDelivered, milliseconds(1), Micros(0), {}, milliseconds(1)});
+    play.Event_(
+        CallEnded{serial, AttemptResult::kDelivered, milliseconds(1), Micros(0), {}, milliseconds(1)});
     play.Turn();
     play.effects.clear();
   }
--- a/tests/state_resumption_test.cpp
+++ b/tests/state_resumption_test.cpp
@@ -17,12 +17,12 @@
   const Serial untried = play.Owe("untried"), turned_away = play.Owe("turned away"), out = play.Owe("out"),
                error = play.Owe("error"), over = play.Owe("over"), notice = play.Owe("notice");
   play.Begin(turned_away);
-  play.End(turned_away, Ending::kTurnedAway);
+  play.End(turned_away, AttemptResult::kUnavailable);
   play.Begin(out);
   play.Begin(error);
-  play.End(error, Ending::kError);
+  play.End(error, AttemptResult::kError);
   play.Begin(over);
-  play.End(over, Ending::kDelivered);
+  play.End(over, AttemptResult::kDelivered);
   play.Event_(WantsFailure{notice});
   play.Turn();
 
@@ -174,7 +174,7 @@
   Play play;
   const Serial serial = play.Owe("a");
   play.Begin(serial);
-  play.End(serial, Ending::kTimedOut);
+  play.End(serial, AttemptResult::kTimedOut);
   play.Turn();
   const auto resumed_with = [&](std::map<std::string, int> zones) {
     Play next;
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -110,7 +110,7 @@
   for (const auto& [id, serial] :
        std::map<std::string, Serial>(small.state.by_id.begin(), small.state.by_id.end())) {
     small.Send(serial);
-    small.End(serial, Ending::kDelivered);
+    small.End(serial, AttemptResult::kDelivered);
     small.Turn();
   }
   small.effects.clear();
@@ -127,7 +127,7 @@
     const int rewrites = play.rewrites;
     const Serial serial = play.Owe("m" + std::to_string(i));
     play.Send(serial);
-    play.End(serial, i % 3 == 0 ? Ending::kError : Ending::kDelivered);
+    play.End(serial, i % 3 == 0 ? AttemptResult::kError : AttemptResult::kDelivered);
     if (i % 3 == 0) play.Event_(WantsFailure{serial});
     play.Turn();
     if (play.state.notices_out) {
