--- a/src/cli/journal.cpp
+++ b/src/cli/journal.cpp
@@ -16,7 +16,7 @@
 using state::Record;
 
 struct Message {
-  state::Taken taken;
+  state::AcceptedMessage taken;
   int attempts = 0;
   bool out = false, connecting = false, may_have_run = false, over = false;
   std::string end = "owed";
@@ -26,28 +26,28 @@
 std::map<state::Serial, Message> Messages(const std::vector<Record>& records) {
   std::map<state::Serial, Message> all;
   for (const Record& record : records) {
-    if (const auto* r = std::get_if<state::Taken>(&record)) all[r->serial].taken = *r;
-    if (const auto* r = std::get_if<state::Connecting>(&record))
+    if (const auto* r = std::get_if<state::AcceptedMessage>(&record)) all[r->serial].taken = *r;
+    if (const auto* r = std::get_if<state::AttemptConnecting>(&record))
       ++all[r->serial].attempts, all[r->serial].out = all[r->serial].connecting = true;
-    if (const auto* r = std::get_if<state::Attempted>(&record)) {
+    if (const auto* r = std::get_if<state::AttemptStarted>(&record)) {
       if (!std::exchange(all[r->serial].connecting, false)) ++all[r->serial].attempts;
       all[r->serial].out = true;
     }
-    if (const auto* r = std::get_if<state::Settled>(&record)) {
+    if (const auto* r = std::get_if<state::AttemptFinished>(&record)) {
       all[r->serial].out = all[r->serial].connecting = false;
       all[r->serial].may_have_run |= state::MayHaveRun(r->result);
     }
-    if (const auto* r = std::get_if<state::Resumed>(&record)) {
+    if (const auto* r = std::get_if<state::AttemptHistory>(&record)) {
       all[r->serial].attempts = r->past.attempts;
       all[r->serial].may_have_run = r->past.may_have_run;
     }
-    if (const auto* r = std::get_if<state::Ended>(&record)) {
-      all[r->serial].end = r->end == state::End::kNothingOwed ? "delivered or withdrawn"
-                           : r->end == state::End::kReturned  ? "returned, notice owed"
-                                                              : "failed, notice owed";
-      all[r->serial].over = r->end == state::End::kNothingOwed;
+    if (const auto* r = std::get_if<state::MessageEnded>(&record)) {
+      all[r->serial].end = r->end == state::MessageEnd::kNoNotice   ? "delivered or withdrawn"
+                           : r->end == state::MessageEnd::kReturned ? "returned, notice owed"
+                                                                    : "failed, notice owed";
+      all[r->serial].over = r->end == state::MessageEnd::kNoNotice;
     }
-    if (const auto* r = std::get_if<state::Noticed>(&record))
+    if (const auto* r = std::get_if<state::NoticeAccepted>(&record))
       all[r->serial].end = "told", all[r->serial].over = true;
   }
   return all;
@@ -55,7 +55,7 @@
 
 struct Read {
   std::string path, bytes;
-  state::ReadJournal journal;
+  state::ParsedJournal journal;
 };
 
 Read Open(const std::string& folder) {
@@ -68,26 +68,26 @@
 
 void Verify(const std::string& folder, bool as_json) {
   const Read read = Open(folder);
-  const state::ReadJournal& journal = read.journal;
+  const state::ParsedJournal& journal = read.journal;
   std::size_t owed = 0;
   for (const auto& [serial, message] : Messages(journal.records)) owed += message.over ? 0 : 1;
   if (as_json) {
-    fmt::print("{}\n", json{{"whole", journal.trouble.empty()},
+    fmt::print("{}\n", json{{"whole", journal.error.empty()},
                             {"bytes", read.bytes.size()},
-                            {"good_bytes", journal.read},
+                            {"good_bytes", journal.valid_bytes},
                             {"records", journal.records.size()},
                             {"owed", owed},
-                            {"trouble", journal.trouble}}
+                            {"trouble", journal.error}}
                            .dump());
   } else {
     fmt::print("{}: {} records, {} messages owed\n", read.path, journal.records.size(), owed);
   }
-  if (journal.trouble.empty()) return;
-  throw Failure(Exit::kFound,
-                as_json
-                    ? ""
-                    : fmt::format("{}: at byte {} of {}: {}; the {} records before it are whole", read.path,
-                                  journal.read, read.bytes.size(), journal.trouble, journal.records.size()));
+  if (journal.error.empty()) return;
+  throw Failure(
+      Exit::kFound,
+      as_json ? ""
+              : fmt::format("{}: at byte {} of {}: {}; the {} records before it are whole", read.path,
+                            journal.valid_bytes, read.bytes.size(), journal.error, journal.records.size()));
 }
 
 void Inspect(const std::string& folder, bool as_json, bool all) {
@@ -121,9 +121,9 @@
     }
   }
   if (as_json) fmt::print("{}\n", list.dump(2, ' ', false, json::error_handler_t::replace));
-  if (!read.journal.trouble.empty()) {
+  if (!read.journal.error.empty()) {
     throw Failure(Exit::kFound,
-                  fmt::format("{}: at byte {}: {}", read.path, read.journal.read, read.journal.trouble));
+                  fmt::format("{}: at byte {}: {}", read.path, read.journal.valid_bytes, read.journal.error));
   }
 }
 
--- a/src/node/journal_file.cpp
+++ b/src/node/journal_file.cpp
@@ -103,7 +103,7 @@
   }
   const base::Descriptor owned(file);
   if (!ReadWhole(file, most, bytes, trouble)) return false;
-  if (!state::OfAnotherVersion(bytes)) return true;
+  if (!state::IsOtherVersion(bytes)) return true;
   trouble = path + " is of another version: only a program that knows it may write it";
   return false;
 }
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -25,7 +25,7 @@
   state::ClientMessage event;
   event.client = {connection, command};
   event.at = loop_.Now();
-  state::Taken& message = event.message;
+  state::AcceptedMessage& message = event.message;
   message.id = std::move(enqueue.id);
   message.message_class = std::move(enqueue.message_class);
   message.tenant = std::move(enqueue.tenant);
--- a/src/node/node_journals.cpp
+++ b/src/node/node_journals.cpp
@@ -20,16 +20,17 @@
 constexpr state::Serial kSuccessorGap = state::Serial{1} << 32;
 
 // The messages of a journal: its records, and the highest number that it gave.
-state::ReadJournal Parsed(const std::string& bytes, state::Serial& highest) {
-  state::ReadJournal read = state::ParseJournal(bytes);
+state::ParsedJournal Parsed(const std::string& bytes, state::Serial& highest) {
+  state::ParsedJournal read = state::ParseJournal(bytes);
   for (const state::Record& record : read.records) {
-    if (const auto* taken = std::get_if<state::Taken>(&record)) highest = std::max(highest, taken->serial);
+    if (const auto* taken = std::get_if<state::AcceptedMessage>(&record))
+      highest = std::max(highest, taken->serial);
   }
   return read;
 }
 
-void Add(state::ReadJournal journal, state::Recovered& recovered) {
-  recovered.unsure.merge(state::Unsure(journal));
+void Add(state::ParsedJournal journal, state::Recovered& recovered) {
+  recovered.unsure.merge(state::MessagesInDoubt(journal));
   for (state::Record& record : journal.records) recovered.records.push_back(std::move(record));
 }
 
@@ -46,10 +47,10 @@
   if (!rules_.known()) log_.Write(base::kRulesUnknown, config_.state_folder);
   const bool owner = role == JournalFile::Role::kOwner;
   state::Serial highest = 0;
-  state::ReadJournal old = Parsed(bytes, highest);
+  state::ParsedJournal old = Parsed(bytes, highest);
   if (owner) {  // else what it holds is the other process's until that ends
     if (!trouble.empty()) log_.Write(base::kJournalDamaged, trouble, bytes.size(), bytes.size());
-    if (!old.trouble.empty()) log_.Write(base::kJournalDamaged, old.trouble, old.read, bytes.size());
+    if (!old.error.empty()) log_.Write(base::kJournalDamaged, old.error, old.valid_bytes, bytes.size());
     Add(std::move(old), recovered);
   }
   // A successor that died before it took over left its own file, for whichever process comes next.
@@ -61,8 +62,8 @@
   }
   if (!next.empty()) {
     log_.Write(base::kJournalFound, next.size());
-    state::ReadJournal more = Parsed(next, highest);
-    if (!more.trouble.empty()) log_.Write(base::kJournalDamaged, more.trouble, more.read, next.size());
+    state::ParsedJournal more = Parsed(next, highest);
+    if (!more.error.empty()) log_.Write(base::kJournalDamaged, more.error, more.valid_bytes, next.size());
     Add(std::move(more), recovered);
   }
   if (!owner) recovered.numbered_past = highest + kSuccessorGap;
@@ -104,8 +105,8 @@
   SaveRules();
   ShareRoom(false);
   state::Serial highest = 0;
-  state::ReadJournal old = Parsed(bytes, highest);
-  if (!old.trouble.empty()) log_.Write(base::kJournalDamaged, old.trouble, old.read, bytes.size());
+  state::ParsedJournal old = Parsed(bytes, highest);
+  if (!old.error.empty()) log_.Write(base::kJournalDamaged, old.error, old.valid_bytes, bytes.size());
   log_.Write(base::kJournalTakenOver, bytes.size());
   state::Recovered recovered;
   Add(std::move(old), recovered);
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -185,7 +185,7 @@
   Did(Action::kNotice);
   std::vector<net::NoticeLine> lines;
   for (const state::Notice& notice : e.notices) {
-    lines.push_back({notice.serial, notice.end == state::End::kReturned
+    lines.push_back({notice.serial, notice.end == state::MessageEnd::kReturned
                                         ? net::FormatReturned(notice.id, notice.not_before)
                                         : net::FormatFailed(notice.id)});
   }
--- a/src/state/attempt_result.h
+++ b/src/state/attempt_result.h
@@ -43,7 +43,7 @@
 AttemptResult AttemptResultOfStatus(int status, bool no_slot);
 std::string_view NameOf(AttemptResult attempt_result);
 
-// Whether a call that ended so may have taken effect, or may yet. Unsure means yes.
+// Whether a call that ended so may have taken effect, or may yet. MessagesInDoubt means yes.
 bool MayHaveRun(Result result);
 
 }  // namespace indigosaddle::state
--- a/src/state/effects.h
+++ b/src/state/effects.h
@@ -83,7 +83,7 @@
 struct Notice {
   Serial serial = 0;
   std::string id;
-  End end = End::kFailed;
+  MessageEnd end = MessageEnd::kFailed;
   Micros not_before{0};
 };
 struct PostNotices {  // answered by NoticesTaken, however long that takes
--- a/src/state/events.h
+++ b/src/state/events.h
@@ -36,8 +36,8 @@
 };
 struct ClientMessage {
   ClientRef client;
-  Micros at{0};   // when it was read
-  Taken message;  // its serial is given by the reducer
+  Micros at{0};             // when it was read
+  AcceptedMessage message;  // its serial is given by the reducer
   int message_class = 0, tenant = 0;
   bool may_take = true;  // else only what is owed already is answered as taken on
 };
--- a/src/state/journal.cpp
+++ b/src/state/journal.cpp
@@ -11,7 +11,7 @@
 class Writer {
  public:
   explicit Writer(std::string& out) : out_(out) {}
-  void Unsigned(std::uint64_t value, std::size_t bytes = 8) { out_ += Little(value, bytes); }
+  void Unsigned(std::uint64_t value, std::size_t bytes = 8) { out_ += LittleEndian(value, bytes); }
   void Time(Micros value) { Unsigned(static_cast<std::uint64_t>(value.count())); }
   void Text(std::string_view text) {
     Unsigned(text.size(), 4);
@@ -22,7 +22,7 @@
   std::string& out_;
 };
 
-void Put(Writer& w, const Taken& r) {
+void Put(Writer& w, const AcceptedMessage& r) {
   w.Unsigned(r.serial);
   for (const std::string* text :
        {&r.id, &r.message_class, &r.tenant, &r.idempotency_key, &r.order_key, &r.body}) {
@@ -42,19 +42,19 @@
   w.Text(r.zone);
   w.Time(r.at);
 }
-void Put(Writer& w, const Attempted& r) { PutAttempt(w, r); }
-void Put(Writer& w, const Connecting& r) { PutAttempt(w, r); }
-void Put(Writer& w, const Settled& r) {
+void Put(Writer& w, const AttemptStarted& r) { PutAttempt(w, r); }
+void Put(Writer& w, const AttemptConnecting& r) { PutAttempt(w, r); }
+void Put(Writer& w, const AttemptFinished& r) {
   w.Unsigned(r.serial);
   w.Unsigned(static_cast<std::uint64_t>(r.result), 1);
 }
-void Put(Writer& w, const Ended& r) {
+void Put(Writer& w, const MessageEnded& r) {
   w.Unsigned(r.serial);
   w.Unsigned(static_cast<std::uint64_t>(r.end), 1);
   w.Time(r.not_before);
 }
-void Put(Writer& w, const Noticed& r) { w.Unsigned(r.serial); }
-void Put(Writer& w, const Resumed& r) {
+void Put(Writer& w, const NoticeAccepted& r) { w.Unsigned(r.serial); }
+void Put(Writer& w, const AttemptHistory& r) {
   w.Unsigned(r.serial);
   w.Unsigned(static_cast<std::uint32_t>(r.past.attempts), 4);
   w.Unsigned(r.past.may_have_run ? 1 : 0, 1);
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-std::string JournalHead() { return HeadOf(kVersion); }
+std::string JournalHeader() { return HeaderOf(kVersion); }
 
 void AppendRecord(std::string& journal, const Record& record) {
   std::string body;
@@ -77,7 +77,7 @@
   journal += body;
 }
 
-std::size_t RecordBytes(const Record& record) {
+std::size_t RecordSize(const Record& record) {
   std::string bytes;
   AppendRecord(bytes, record);
   return bytes.size();
--- a/src/state/journal.h
+++ b/src/state/journal.h
@@ -17,66 +17,67 @@
 using Serial = std::uint64_t;  // a message's number in this node: its MessageId at the module
 
 // A message was taken on. Id, keys and body stay the bytes that came.
-struct Taken {
+struct AcceptedMessage {
   Serial serial = 0;
   std::string id, message_class, tenant, idempotency_key, order_key, body;
   std::uint64_t destination = 0;
   Micros give_up_at{0};
   RepeatRules rules = kStrictestRules;  // from its birth
 };
-struct Attempted {  // on disk before the call's first byte can leave: from here on it may have run
+struct AttemptStarted {  // on disk before the call's first byte can leave: from here on it may have run
   Serial serial = 0;
   std::string endpoint;
   std::string zone;  // its name: numbers differ between settings; empty: not known
   Micros at{0};      // when it was decided
 };
-struct Settled {  // how the attempt that was out ended
+struct AttemptFinished {  // how the attempt that was out ended
   Serial serial = 0;
   Result result = Result::kReset;
 };
-enum class End : std::uint8_t { kNothingOwed, kFailed, kReturned };
-struct Ended {  // the message is over; a notice is owed unless the end is kNothingOwed
+enum class MessageEnd : std::uint8_t { kNoNotice, kFailed, kReturned };
+struct MessageEnded {  // the message is over; a notice is owed unless the end is kNoNotice
   Serial serial = 0;
-  End end = End::kNothingOwed;
+  MessageEnd end = MessageEnd::kNoNotice;
   Micros not_before{0};  // with kReturned
 };
-struct Noticed {  // the platform has the notice
+struct NoticeAccepted {  // the platform has the notice
   Serial serial = 0;
 };
-struct Resumed {  // all attempts so far, in a rewritten journal
+struct AttemptHistory {  // all attempts so far, in a rewritten journal
   Serial serial = 0;
   Past past;             // but for the zone's number
   std::string run_zone;  // its name
 };
 // An attempt that waits for its connection: it counts, and nothing of it has left. The same attempt's
-// Attempted follows once the connection is up.
-struct Connecting {
+// AttemptStarted follows once the connection is up.
+struct AttemptConnecting {
   Serial serial = 0;
   std::string endpoint, zone;
   Micros at{0};
 };
-using Record = std::variant<Taken, Attempted, Settled, Ended, Noticed, Resumed, Connecting>;
+using Record = std::variant<AcceptedMessage, AttemptStarted, AttemptFinished, MessageEnded, NoticeAccepted,
+                            AttemptHistory, AttemptConnecting>;
 
-constexpr std::size_t kMostRecordBytes = 1 << 18;  // longer lengths are rubbish
+constexpr std::size_t kMaxRecordBytes = 1 << 18;  // longer lengths are rubbish
 
-std::string JournalHead();
+std::string JournalHeader();
 void AppendRecord(std::string& journal, const Record& record);
-std::size_t RecordBytes(const Record& record);
+std::size_t RecordSize(const Record& record);
 
-struct ReadJournal {
+struct ParsedJournal {
   std::vector<Record> records;
-  std::size_t read = 0;  // bytes that were good
-  std::string trouble;   // empty: the whole journal was read
+  std::size_t valid_bytes = 0;  // bytes that were good
+  std::string error;            // empty: the whole journal was read
   // It was damaged behind its writing, and what followed is lost: not a write that was cut off at the end,
   // for what a turn wants is done only once its records are written.
   bool damaged = false;
 };
-ReadJournal ParseJournal(std::string_view bytes);
+ParsedJournal ParseJournal(std::string_view bytes);
 
 // Messages of which a lost record may have said more: all of a journal that is damaged.
-std::set<Serial> Unsure(const ReadJournal& journal);
+std::set<Serial> MessagesInDoubt(const ParsedJournal& journal);
 
 // Written by a program whose records are not known here: it must be left as it is.
-bool OfAnotherVersion(std::string_view bytes);
+bool IsOtherVersion(std::string_view bytes);
 
 }  // namespace indigosaddle::state
--- a/src/state/journal_format.h
+++ b/src/state/journal_format.h
@@ -11,22 +11,22 @@
 namespace indigosaddle::state {
 
 constexpr std::string_view kMagic = "indigosaddle journal ";
-// 1 has no Connecting records, 2 numbers in place of zones' names and no rules of messages; both are read as
-// well.
+// 1 has no AttemptConnecting records, 2 numbers in place of zones' names and no rules of messages; both are
+// read as well.
 constexpr std::uint64_t kVersion = 3;
-constexpr std::uint64_t kFirstWithRules = 3;
+constexpr std::uint64_t kFirstVersionWithRules = 3;
 constexpr std::size_t kVersionBytes = 4;
-constexpr std::size_t kHeadBytes = kMagic.size() + kVersionBytes;
+constexpr std::size_t kHeaderBytes = kMagic.size() + kVersionBytes;
 constexpr std::size_t kFrameBytes = 8;  // length and checksum
 
-inline std::string Little(std::uint64_t value, std::size_t bytes) {
+inline std::string LittleEndian(std::uint64_t value, std::size_t bytes) {
   std::string out;
   for (std::size_t i = 0; i < bytes; ++i) out.push_back(static_cast<char>(value >> (8 * i) & 0xff));
   return out;
 }
 
-inline std::string HeadOf(std::uint64_t version) {
-  return std::string(kMagic) + Little(version, kVersionBytes);
+inline std::string HeaderOf(std::uint64_t version) {
+  return std::string(kMagic) + LittleEndian(version, kVersionBytes);
 }
 
 inline std::uint64_t Checksum(std::string_view bytes) {
--- a/src/state/journal_read.cpp
+++ b/src/state/journal_read.cpp
@@ -10,7 +10,7 @@
 namespace indigosaddle::state {
 namespace {
 
-constexpr Serial kMostSerial = ~Serial{0} >> 1;
+constexpr Serial kMaxSerial = ~Serial{0} >> 1;
 enum class Flagged : std::uint8_t { kNo, kYes };
 
 // Reads past the end yield zero and clear ok(), as do values that no program writes.
@@ -18,7 +18,7 @@
  public:
   explicit Reader(std::string_view bytes, std::uint64_t version = kVersion)
       : bytes_(bytes), version_(version) {}
-  bool has_rules() const { return version_ >= kFirstWithRules; }
+  bool has_rules_and_zone_names() const { return version_ >= kFirstVersionWithRules; }
   std::uint64_t Unsigned(std::size_t bytes = 8) {
     if (bytes_.size() < bytes) {
       ok_ = false;
@@ -34,7 +34,7 @@
   // A message's number: they begin at 1, and the next one behind the highest is one too.
   Serial Number() {
     const Serial serial = Unsigned();
-    if (serial == 0 || serial > kMostSerial) ok_ = false;
+    if (serial == 0 || serial > kMaxSerial) ok_ = false;
     return serial;
   }
   int Count() {
@@ -61,7 +61,7 @@
     return ok_ ? static_cast<T>(value) : T{};
   }
   bool ok() const { return ok_; }
-  bool done() const { return ok_ && bytes_.empty(); }
+  bool at_end() const { return ok_ && bytes_.empty(); }
 
  private:
   std::string_view bytes_;
@@ -69,14 +69,14 @@
   bool ok_ = true;
 };
 
-void Get(Reader& in, Taken& r) {
+void Get(Reader& in, AcceptedMessage& r) {
   r.serial = in.Number();
   for (std::string* text : {&r.id, &r.message_class, &r.tenant, &r.idempotency_key, &r.order_key, &r.body}) {
     *text = in.Text();
   }
   r.destination = in.Unsigned();
   r.give_up_at = in.Time();
-  if (!in.has_rules()) return;  // born under rules that nobody noted: the strictest
+  if (!in.has_rules_and_zone_names()) return;  // born under rules that nobody noted: the strictest
   r.rules.effect = in.Choice(Effect::kUnsafe);
   r.rules.group = in.Choice(Group::kCell);
   r.rules.key_ttl = in.Time();
@@ -85,7 +85,7 @@
 
 // A number of an older version is of settings that are not known here.
 std::string GetZone(Reader& in) {
-  if (in.has_rules()) return in.Text();
+  if (in.has_rules_and_zone_names()) return in.Text();
   in.Unsigned(4);
   return {};
 }
@@ -96,19 +96,19 @@
   r.zone = GetZone(in);
   r.at = in.Time();
 }
-void Get(Reader& in, Attempted& r) { GetAttempt(in, r); }
-void Get(Reader& in, Connecting& r) { GetAttempt(in, r); }
-void Get(Reader& in, Settled& r) {
+void Get(Reader& in, AttemptStarted& r) { GetAttempt(in, r); }
+void Get(Reader& in, AttemptConnecting& r) { GetAttempt(in, r); }
+void Get(Reader& in, AttemptFinished& r) {
   r.serial = in.Number();
   r.result = in.Choice(Result::kGarbled);
 }
-void Get(Reader& in, Ended& r) {
+void Get(Reader& in, MessageEnded& r) {
   r.serial = in.Number();
-  r.end = in.Choice(End::kReturned);
+  r.end = in.Choice(MessageEnd::kReturned);
   r.not_before = in.Time();
 }
-void Get(Reader& in, Noticed& r) { r.serial = in.Number(); }
-void Get(Reader& in, Resumed& r) {
+void Get(Reader& in, NoticeAccepted& r) { r.serial = in.Number(); }
+void Get(Reader& in, AttemptHistory& r) {
   r.serial = in.Number();
   r.past.attempts = in.Count();
   r.past.may_have_run = in.Flag();
@@ -122,7 +122,7 @@
   const auto take = [&]<typename T>(std::size_t index, T value) {
     if (type != index) return;
     Get(in, value);
-    if (in.done()) record = std::move(value);
+    if (in.at_end()) record = std::move(value);
   };
   (take(I, std::variant_alternative_t<I, Record>{}), ...);
   return record;
@@ -145,27 +145,28 @@
   Reader frame(rest.substr(0, kFrameBytes));
   const std::size_t length = frame.Unsigned(4);
   const std::uint64_t checksum = frame.Unsigned(4);
-  if (!frame.ok() || length > kMostRecordBytes || rest.size() - kFrameBytes < length) return std::nullopt;
+  if (!frame.ok() || length > kMaxRecordBytes || rest.size() - kFrameBytes < length) return std::nullopt;
   const std::string_view bytes = rest.substr(kFrameBytes, length);
   return Body{bytes, Checksum(bytes) == checksum};
 }
 
 // Whether a whole record stands anywhere behind the first byte. A write that was cut off leaves none.
-bool RecordBehind(std::string_view rest) {
-  constexpr std::size_t kLeast = 1 + sizeof(Serial);  // each begins with its kind and a message's number
-  if (rest.size() >= kFrameBytes + kMostRecordBytes) return true;  // longer than what is left of one
-  for (rest.remove_prefix(1); rest.size() >= kFrameBytes + kLeast; rest.remove_prefix(1)) {
+bool HasRecordAfter(std::string_view rest) {
+  constexpr std::size_t kMinBodyBytes =
+      1 + sizeof(Serial);  // each begins with its kind and a message's number
+  if (rest.size() >= kFrameBytes + kMaxRecordBytes) return true;  // longer than what is left of one
+  for (rest.remove_prefix(1); rest.size() >= kFrameBytes + kMinBodyBytes; rest.remove_prefix(1)) {
     const auto kind = static_cast<unsigned char>(rest[kFrameBytes]);
     if (kind >= std::variant_size_v<Record>) continue;
     const auto body = BodyOf(rest);
-    if (body && body->fits && body->bytes.size() >= kLeast) return true;
+    if (body && body->fits && body->bytes.size() >= kMinBodyBytes) return true;
   }
   return false;
 }
 
 // The version that a journal says it has: nothing where its head is none, or is cut.
 std::optional<std::uint64_t> VersionOf(std::string_view bytes) {
-  if (!bytes.starts_with(kMagic) || bytes.size() < kHeadBytes) return std::nullopt;
+  if (!bytes.starts_with(kMagic) || bytes.size() < kHeaderBytes) return std::nullopt;
   return Reader(bytes.substr(kMagic.size(), kVersionBytes)).Unsigned(kVersionBytes);
 }
 
@@ -173,45 +174,45 @@
 
 }  // namespace
 
-bool OfAnotherVersion(std::string_view bytes) {
+bool IsOtherVersion(std::string_view bytes) {
   const auto version = VersionOf(bytes);
   return version && !IsKnown(*version);
 }
 
-ReadJournal ParseJournal(std::string_view bytes) {
-  ReadJournal result;
+ParsedJournal ParseJournal(std::string_view bytes) {
+  ParsedJournal result;
   if (bytes.empty()) return result;
   const auto version = VersionOf(bytes);
   if (!version || !IsKnown(*version)) {
-    result.trouble = version ? "another version" : "not a journal";
+    result.error = version ? "another version" : "not a journal";
     return result;
   }
-  result.read = kHeadBytes;
-  while (result.read < bytes.size()) {
-    const std::string_view rest = bytes.substr(result.read);
+  result.valid_bytes = kHeaderBytes;
+  while (result.valid_bytes < bytes.size()) {
+    const std::string_view rest = bytes.substr(result.valid_bytes);
     const auto body = BodyOf(rest);
     if (!body) {
-      result.damaged = RecordBehind(rest);
-      result.trouble = result.damaged ? "a record with a wrong length" : "a torn record at the end";
+      result.damaged = HasRecordAfter(rest);
+      result.error = result.damaged ? "a record with a wrong length" : "a torn record at the end";
       return result;
     }
     auto record = body->fits ? Decode(body->bytes, *version) : std::nullopt;
     if (!record) {
       result.damaged = true;
-      result.trouble = body->fits ? "a record of unknown form" : "a record with a wrong checksum";
+      result.error = body->fits ? "a record of unknown form" : "a record with a wrong checksum";
       return result;
     }
     result.records.push_back(std::move(*record));
-    result.read += kFrameBytes + body->bytes.size();
+    result.valid_bytes += kFrameBytes + body->bytes.size();
   }
   return result;
 }
 
-std::set<Serial> Unsure(const ReadJournal& journal) {
+std::set<Serial> MessagesInDoubt(const ParsedJournal& journal) {
   std::set<Serial> serials;
   if (!journal.damaged) return serials;
   for (const Record& record : journal.records)
-    if (const auto* taken = std::get_if<Taken>(&record)) serials.insert(taken->serial);
+    if (const auto* taken = std::get_if<AcceptedMessage>(&record)) serials.insert(taken->serial);
   return serials;
 }
 
--- a/src/state/keeper.h
+++ b/src/state/keeper.h
@@ -10,22 +10,23 @@
 
 namespace indigosaddle::state {
 
-constexpr std::size_t kLaterRecords = 512;  // journal bytes set aside for what follows a Taken record
+constexpr std::size_t kLaterRecords =
+    512;  // journal bytes set aside for what follows a AcceptedMessage record
 
 class Keeper {
  public:
   explicit Keeper(State& state) : state_(state) {}
 
-  void operator()(const Taken& r) {
+  void operator()(const AcceptedMessage& r) {
     Owed& owed = state_.owed[r.serial];
     owed.taken = r;
     state_.by_id[r.id] = r.serial;
     state_.last_serial = std::max(state_.last_serial, r.serial);
-    SetRoom(owed, RecordBytes(r) + kLaterRecords);
+    SetRoom(owed, RecordSize(r) + kLaterRecords);
   }
-  void operator()(const Connecting& r) { Attempt(r, true); }
-  void operator()(const Attempted& r) { Attempt(r, false); }
-  void operator()(const Settled& r) {
+  void operator()(const AttemptConnecting& r) { Attempt(r, true); }
+  void operator()(const AttemptStarted& r) { Attempt(r, false); }
+  void operator()(const AttemptFinished& r) {
     Owed* owed = Find(r.serial);
     if (owed == nullptr || !owed->out) return;
     owed->out = owed->connecting = false;
@@ -34,7 +35,7 @@
     owed->past.first_run = owed->sent;
     owed->run_zone = owed->out_zone;
   }
-  void operator()(const Ended& r) {
+  void operator()(const MessageEnded& r) {
     Owed* owed = FindForEnd(r);
     if (owed == nullptr) return;
     owed->ended = r;
@@ -42,16 +43,16 @@
     if (by_id != state_.by_id.end() && by_id->second == r.serial) state_.by_id.erase(by_id);
     owed->taken.body = {};  // nothing is sent any more
     state_.recent.Add(owed->taken, r.end);
-    SetRoom(*owed, r.end == End::kNothingOwed ? 0 : RecordBytes(owed->taken) + kLaterRecords);
-    if (r.end != End::kNothingOwed) {
+    SetRoom(*owed, r.end == MessageEnd::kNoNotice ? 0 : RecordSize(owed->taken) + kLaterRecords);
+    if (r.end != MessageEnd::kNoNotice) {
       state_.notices[r.serial] = {r.serial, owed->taken.id, r.end, r.not_before};
     }
   }
-  void operator()(const Noticed& r) {
+  void operator()(const NoticeAccepted& r) {
     state_.notices.erase(r.serial);
     if (Owed* owed = Find(r.serial)) SetRoom(*owed, 0);
   }
-  void operator()(const Resumed& r) {
+  void operator()(const AttemptHistory& r) {
     if (Owed* owed = Find(r.serial)) owed->past = r.past, owed->run_zone = r.run_zone;
   }
 
@@ -70,11 +71,12 @@
 
   // The message that this ends: one that is owed, or one that was over with nothing owed and failed after
   // all.
-  Owed* FindForEnd(const Ended& r) {
+  Owed* FindForEnd(const MessageEnded& r) {
     Owed* owed = Find(r.serial);
     if (owed != nullptr && !owed->ended) return owed;
     const RecentEnds::Entry* entry = state_.recent.Find(r.serial);
-    if (entry == nullptr || entry->end != End::kNothingOwed || r.end != End::kFailed) return nullptr;
+    if (entry == nullptr || entry->end != MessageEnd::kNoNotice || r.end != MessageEnd::kFailed)
+      return nullptr;
     if (owed == nullptr) owed = &state_.owed[r.serial];
     owed->taken = entry->taken;
     return owed;
@@ -122,24 +124,25 @@
 
 // All that is owed, as a journal of its own.
 inline std::string Snapshot(const State& state) {
-  std::string journal = JournalHead();
+  std::string journal = JournalHeader();
   for (const auto& [serial, owed] : state.owed) {
     if (owed.ended && !state.notices.contains(serial)) continue;
     AppendRecord(journal, owed.taken);
     Past past = owed.past;
     if (owed.out && !owed.ended) --past.attempts;  // counted by the record of the attempt that is out
-    if (past.attempts > 0 || past.may_have_run) AppendRecord(journal, Resumed{serial, past, owed.run_zone});
+    if (past.attempts > 0 || past.may_have_run)
+      AppendRecord(journal, AttemptHistory{serial, past, owed.run_zone});
     if (owed.out && !owed.ended && owed.connecting) {
-      AppendRecord(journal, Connecting{serial, owed.endpoint, owed.out_zone, owed.sent});
+      AppendRecord(journal, AttemptConnecting{serial, owed.endpoint, owed.out_zone, owed.sent});
     } else if (owed.out && !owed.ended) {
-      AppendRecord(journal, Attempted{serial, owed.endpoint, owed.out_zone, owed.sent});
+      AppendRecord(journal, AttemptStarted{serial, owed.endpoint, owed.out_zone, owed.sent});
     }
     if (owed.ended) AppendRecord(journal, *owed.ended);
   }
   for (const auto& [serial, entry] : state.recent.entries()) {
     if (state.notices.contains(serial)) continue;
     AppendRecord(journal, entry.taken);
-    AppendRecord(journal, Ended{serial, End::kNothingOwed, Micros(0)});
+    AppendRecord(journal, MessageEnded{serial, MessageEnd::kNoNotice, Micros(0)});
   }
   return journal;
 }
--- a/src/state/ledger.h
+++ b/src/state/ledger.h
@@ -27,7 +27,7 @@
     bytes += std::exchange(state_.staged, {});
     LimitRecent();
     // Of a rewrite, rounded up.
-    const std::size_t reserve = state_.room + state_.recent.bytes() + JournalHead().size() + 2 * kBlock;
+    const std::size_t reserve = state_.room + state_.recent.bytes() + JournalHeader().size() + 2 * kBlock;
     if (!bytes.empty() || state_.rewrite_due) {
       if (state_.rewrite_due || state_.journal_size + bytes.size() + reserve > state_.limits.journal_bytes) {
         bytes = Snapshot(state_);
@@ -82,8 +82,8 @@
     AppendRecord(state_.staged, record);
   }
 
-  void Answer_(const ClientRef& client, Answer answer, Micros not_before, const Taken& taken, Refusal refusal,
-               std::optional<GiveUpCause> cause = std::nullopt) {
+  void Answer_(const ClientRef& client, Answer answer, Micros not_before, const AcceptedMessage& taken,
+               Refusal refusal, std::optional<GiveUpCause> cause = std::nullopt) {
     if (answer != Answer::kTaken) state_.refusals.Add(taken.id, answer, state_.heard_at);
     effects_.emplace_back(Reply{client, answer, not_before, taken.id, taken.message_class, refusal, cause});
   }
@@ -96,20 +96,20 @@
   }
 
   // A final answer: to the client while it waits, by a notice after that.
-  void Finish(Serial serial, End end, Micros not_before, GiveUpCause cause) {
+  void Finish(Serial serial, MessageEnd end, Micros not_before, GiveUpCause cause) {
     Owed* owed = keep_.Find(serial);
     if (owed == nullptr || owed->ended) return;
     if (owed->unanswered) {
-      AnswerAll(*owed, end == End::kReturned ? Answer::kBusy : Answer::kFailed, not_before, Refusal::kPolicy,
-                cause);
+      AnswerAll(*owed, end == MessageEnd::kReturned ? Answer::kBusy : Answer::kFailed, not_before,
+                Refusal::kPolicy, cause);
       return Forget(serial);
     }
-    SayOver(*owed, end == End::kReturned ? Over::kReturned : Over::kFailed, cause);
-    Record_(Ended{serial, end, not_before});
+    SayOver(*owed, end == MessageEnd::kReturned ? Over::kReturned : Over::kFailed, cause);
+    Record_(MessageEnded{serial, end, not_before});
   }
 
   void SayOver(const Owed& owed, Over over, std::optional<GiveUpCause> cause = std::nullopt) {
-    const Taken& t = owed.taken;
+    const AcceptedMessage& t = owed.taken;
     effects_.emplace_back(MessageOver{t.id, t.message_class, t.tenant, t.destination, over,
                                       owed.past.attempts, t.rules, owed.taken_at, cause});
   }
--- a/src/state/recent_ends.h
+++ b/src/state/recent_ends.h
@@ -20,16 +20,16 @@
 class RecentEnds {
  public:
   struct Entry {
-    Taken taken;  // without its body
-    End end = End::kNothingOwed;
+    AcceptedMessage taken;  // without its body
+    MessageEnd end = MessageEnd::kNoNotice;
     std::size_t bytes = 0;  // of its records in a journal
   };
 
-  void Add(Taken taken, End end) {
+  void Add(AcceptedMessage taken, MessageEnd end) {
     const Serial serial = taken.serial;
     Remove(serial);
     taken.body.clear();
-    const std::size_t bytes = RecordBytes(taken) + RecordBytes(Ended{serial, end, Micros(0)});
+    const std::size_t bytes = RecordSize(taken) + RecordSize(MessageEnded{serial, end, Micros(0)});
     by_id_[taken.id] = serial;
     by_time_.emplace(taken.give_up_at, serial);
     bytes_ += bytes;
@@ -46,7 +46,7 @@
   void Remove(Serial serial) {
     const auto it = entries_.find(serial);
     if (it == entries_.end()) return;
-    const Taken& taken = it->second.taken;
+    const AcceptedMessage& taken = it->second.taken;
     const auto id = by_id_.find(taken.id);
     if (id != by_id_.end() && id->second == serial) by_id_.erase(id);
     by_time_.erase({taken.give_up_at, serial});
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -36,11 +36,11 @@
     for (Serial serial : serials) {
       Owed& owed = state_.owed.at(serial);
       // Cut off: it may have run, unless its connection was never up.
-      if (owed.out) keep_(Settled{serial, owed.connecting ? Result::kNoConnection : Result::kReset});
+      if (owed.out) keep_(AttemptFinished{serial, owed.connecting ? Result::kNoConnection : Result::kReset});
       if (e.unsure.contains(serial)) keep_.Doubt(owed);
       if (!owed.ended) {
         ++resumed;
-        const Taken& taken = owed.taken;
+        const AcceptedMessage& taken = owed.taken;
         effects_.emplace_back(
             MessageResumed{taken.id, taken.destination, taken.rules, owed.past, taken.give_up_at});
       }
@@ -61,12 +61,12 @@
     state_.refusals.Forget(state_.heard_at);
     if (SameOnceMore(e)) return;
     if (!e.may_take) return Answer_(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kStopping);
-    const std::size_t room = RecordBytes(e.message) + kLaterRecords;
+    const std::size_t room = RecordSize(e.message) + kLaterRecords;
     const bool full = state_.limits.most_open > 0 && state_.open() >= state_.limits.most_open;
     if (full || state_.room + room > state_.limits.journal_bytes * kOwedOfJournal / 100) {
       return Answer_(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kNoRoom);
     }
-    Taken taken = e.message;
+    AcceptedMessage taken = e.message;
     taken.serial = ++state_.last_serial;
     keep_(taken);
     Owed& owed = state_.owed.at(taken.serial);
@@ -106,10 +106,11 @@
     outcome.wait = e.wait;
     outcome.load = e.load;
     effects_.emplace_back(TellOutcome{outcome});
-    Record_(Settled{e.serial, meaning.result});
+    Record_(AttemptFinished{e.serial, meaning.result});
     if (meaning.message_done) {
       if (!owed->ended) SayOver(*owed, meaning.result == Result::kOk ? Over::kDelivered : Over::kWithdrawn);
-      Record_(Ended{e.serial, outcome.untold ? End::kFailed : End::kNothingOwed, Micros(0)});
+      Record_(
+          MessageEnded{e.serial, outcome.untold ? MessageEnd::kFailed : MessageEnd::kNoNotice, Micros(0)});
     }
     keep_.Drop(e.serial);
   }
@@ -120,9 +121,9 @@
   void operator()(const AnswersDoubted& e) {
     for (Serial serial : e.serials) {
       const RecentEnds::Entry* entry = state_.recent.Find(serial);
-      if (entry == nullptr || entry->end != End::kNothingOwed) continue;
+      if (entry == nullptr || entry->end != MessageEnd::kNoNotice) continue;
       effects_.emplace_back(MessageDoubted{entry->taken.id});
-      Record_(Ended{serial, End::kFailed, Micros(0)});
+      Record_(MessageEnded{serial, MessageEnd::kFailed, Micros(0)});
     }
   }
 
@@ -130,7 +131,7 @@
     state_.notices_out = false;
     for (Serial serial : e.serials) {
       if (!state_.notices.contains(serial)) continue;
-      Record_(Noticed{serial});
+      Record_(NoticeAccepted{serial});
       effects_.emplace_back(TellAnswerTold{serial});
       keep_.Drop(serial);
     }
@@ -151,18 +152,18 @@
     if (owed == nullptr || owed->ended || owed->out || listed == state_.listed.end()) return;
     const std::string zone = ZoneName(listed->second.endpoint.zone);
     if (e.connected) {
-      Record_(Attempted{e.serial, e.endpoint, zone, e.now});
+      Record_(AttemptStarted{e.serial, e.endpoint, zone, e.now});
     } else {
-      Record_(Connecting{e.serial, e.endpoint, zone, e.now});
+      Record_(AttemptConnecting{e.serial, e.endpoint, zone, e.now});
     }
     ++owed->attempts_made;
-    const Taken& t = owed->taken;
+    const AcceptedMessage& t = owed->taken;
     state_.after_write.emplace_back(
         StartCall{e.serial, e.endpoint, listed->second.dial, t.id, t.idempotency_key, t.body, e.timeout});
   }
 
-  void operator()(const WantsRefusal& e) { Finish(e.serial, End::kReturned, e.not_before, e.cause); }
-  void operator()(const WantsFailure& e) { Finish(e.serial, End::kFailed, Micros(0), e.cause); }
+  void operator()(const WantsRefusal& e) { Finish(e.serial, MessageEnd::kReturned, e.not_before, e.cause); }
+  void operator()(const WantsFailure& e) { Finish(e.serial, MessageEnd::kFailed, Micros(0), e.cause); }
   void operator()(const WantsTimer& e) { effects_.emplace_back(ArmTimer{e.at}); }
   void operator()(const WantsWatch&) { effects_.emplace_back(RenewWatch{}); }
   void operator()(const WantsIdleClosed& e) { effects_.emplace_back(CloseIdle{e.endpoint}); }
@@ -171,12 +172,13 @@
   void operator()(const CallBegins& e) {
     Owed* owed = keep_.Find(e.serial);
     if (owed == nullptr || !owed->connecting || state_.rewrite_due) return;
-    Record_(Attempted{e.serial, owed->endpoint, owed->out_zone, owed->sent});
+    Record_(AttemptStarted{e.serial, owed->endpoint, owed->out_zone, owed->sent});
     Commit({});
   }
 
-  // Taken records come first: what else this turn recorded may speak of these messages. So do their replies:
-  // a process that is killed behind a call's first byte has told its client that the message is taken on.
+  // AcceptedMessage records come first: what else this turn recorded may speak of these messages. So do their
+  // replies: a process that is killed behind a call's first byte has told its client that the message is
+  // taken on.
   void operator()(const TurnEnded&) {
     std::string bytes;
     Effects replies;
--- a/src/state/reducer.h
+++ b/src/state/reducer.h
@@ -25,7 +25,7 @@
 };
 
 struct Owed {
-  Taken taken;
+  AcceptedMessage taken;
   Past past;
   bool out = false;                // a call
   bool connecting = false;         // with it, and nothing of it has left
@@ -33,7 +33,7 @@
   std::string out_zone, run_zone;  // names: of the attempt that is out; of the first that may have run
   Micros sent{0}, taken_at{0};     // taken_at: zero in what was resumed
   EndpointId endpoint;
-  std::optional<Ended> ended;           // kept while its notice is owed or its call is out
+  std::optional<MessageEnded> ended;    // kept while its notice is owed or its call is out
   std::optional<ClientRef> unanswered;  // taken in the present turn
   std::vector<ClientRef> copies;        // the same command once more meanwhile: answered alike
   std::size_t room = 0;                 // journal bytes set aside for it
--- a/src/state/repeated_commands.h
+++ b/src/state/repeated_commands.h
@@ -25,7 +25,7 @@
       const bool owed_before = named != state_.by_id.end() && named->second != serial;
       if (!owed_before && !state_.recent.Has(owed.taken.id)) continue;
       effects_.emplace_back(TellWithdrawn{serial});
-      Record_(Ended{serial, End::kNothingOwed, Micros(0)});
+      Record_(MessageEnded{serial, MessageEnd::kNoNotice, Micros(0)});
       keep_.Drop(serial);
     }
   }
--- a/tests/journal_file_test.cpp
+++ b/tests/journal_file_test.cpp
@@ -101,7 +101,7 @@
 // Taken for an empty one it would be written over, and nothing of what a later program owed would ever get
 // its end. A head that was cut holds nothing that is owed.
 TEST_F(JournalFolder, AJournalOfAVersionToComeIsRefusedAndLeftAsItIs) {
-  std::string head = state::JournalHead();
+  std::string head = state::JournalHeader();
   head[head.size() - 4] = 99;
   const std::string newer = head + "what is owed";
   for (const char* name : {"journal", "journal.next"}) {
@@ -115,7 +115,7 @@
     EXPECT_EQ(std::string(std::istreambuf_iterator<char>(left), {}), newer);
     std::filesystem::remove(folder_ + "/" + name);
   }
-  Put("journal", state::JournalHead().substr(0, state::JournalHead().size() - 1));
+  Put("journal", state::JournalHeader().substr(0, state::JournalHeader().size() - 1));
   Read();
 }
 
@@ -123,7 +123,7 @@
 TEST_F(JournalFolder, ASuccessorOfAVersionBeforeLeavesTheOwnersJournal) {
   JournalFile successor(folder_);
   TakePlaceOfAnOwner(successor);
-  std::string head = state::JournalHead();
+  std::string head = state::JournalHeader();
   head[head.size() - 4] = 99;
   Put("journal", head);
   std::string bytes;
@@ -135,7 +135,7 @@
 }
 
 TEST_F(JournalFolder, ARewriteCutOffAtAnyStepLeavesTheOldJournal) {
-  const std::string old = state::JournalHead() + "old", fresh = state::JournalHead() + "newer";
+  const std::string old = state::JournalHeader() + "old", fresh = state::JournalHeader() + "newer";
   for (std::size_t size = 0; size <= fresh.size(); ++size) {  // before the rename, at each byte
     Put("journal", old);
     Put("journal.new", fresh.substr(0, size));
--- a/tests/node_ready_test.cpp
+++ b/tests/node_ready_test.cpp
@@ -21,10 +21,10 @@
   static Micros Now() {
     return std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
   }
-  void PutJournal(int messages, const std::function<void(state::Taken&)>& change) {
-    std::string bytes = state::JournalHead();
+  void PutJournal(int messages, const std::function<void(state::AcceptedMessage&)>& change) {
+    std::string bytes = state::JournalHeader();
     for (int i = 1; i <= messages; ++i) {
-      state::Taken taken;
+      state::AcceptedMessage taken;
       taken.serial = static_cast<state::Serial>(i);
       taken.id = "owed-" + std::to_string(i);
       taken.message_class = "safe";
@@ -55,7 +55,7 @@
   constexpr int kMessages = 20000;
   node.config["limits"]["disk_mb"] = 64;
   node.config["settings"]["caps"]["maxOpen"] = 2 * kMessages;
-  PutJournal(kMessages, [](state::Taken&) {});
+  PutJournal(kMessages, [](state::AcceptedMessage&) {});
   EXPECT_LT(UntilReady(node), kReady);
   EXPECT_NE(node.log().find("resumed " + std::to_string(kMessages) + " messages"), std::string::npos);
 }
@@ -85,7 +85,7 @@
   constexpr int kMessages = 3500;  // 1.2 MB and more
   node.config["limits"]["disk_mb"] = 1;
   node.config["settings"]["caps"]["maxOpen"] = 2 * kMessages;
-  PutJournal(kMessages, [](state::Taken&) {});
+  PutJournal(kMessages, [](state::AcceptedMessage&) {});
   ASSERT_GT(std::filesystem::file_size(node.folder + "/state/journal"), 1u << 20);
   ASSERT_TRUE(node.Start());
   EXPECT_NE(node.log().find("resumed " + std::to_string(kMessages) + " messages"), std::string::npos);
@@ -102,7 +102,7 @@
                                      {{"name", "large"}, {"quotaRps", 100.0}, {"portion", 0.9}}};
   node.config["settings"]["overShareWorth"] = 0.1;
   PutJournal(kMessages,
-             [](state::Taken& taken) { taken.tenant = taken.serial % 6 == 0 ? "large" : "small"; });
+             [](state::AcceptedMessage& taken) { taken.tenant = taken.serial % 6 == 0 ? "large" : "small"; });
   platform.Down(true);
   ASSERT_TRUE(node.Start());
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
--- a/tests/state_calls_test.cpp
+++ b/tests/state_calls_test.cpp
@@ -23,11 +23,11 @@
   EXPECT_EQ(calls[0].id, "a");
   EXPECT_EQ(calls[0].idempotency_key, "k0");
   EXPECT_EQ(calls[0].body, "b");
-  ASSERT_TRUE(std::holds_alternative<Connecting>(ParseJournal(play.journal).records.back()));
+  ASSERT_TRUE(std::holds_alternative<AttemptConnecting>(ParseJournal(play.journal).records.back()));
   play.Event_(CallBegins{serial});  // its connection is up, and its first byte may leave
   const auto records = ParseJournal(play.journal).records;
-  ASSERT_TRUE(std::holds_alternative<Attempted>(records.back()));
-  EXPECT_EQ(std::get<Attempted>(records.back()).zone, "z-3");
+  ASSERT_TRUE(std::holds_alternative<AttemptStarted>(records.back()));
+  EXPECT_EQ(std::get<AttemptStarted>(records.back()).zone, "z-3");
   const int writes = play.writes;
   play.Event_(CallBegins{serial});  // it is on record
   EXPECT_EQ(play.writes, writes);
@@ -42,7 +42,7 @@
   play.Event_(WantsSend{serial, "s-1", seconds(1), seconds(5), true});
   play.Turn();
   ASSERT_EQ(play.All<StartCall>().size(), 1u);
-  ASSERT_TRUE(std::holds_alternative<Attempted>(ParseJournal(play.journal).records.back()));
+  ASSERT_TRUE(std::holds_alternative<AttemptStarted>(ParseJournal(play.journal).records.back()));
   play.Event_(CallBegins{serial});
   EXPECT_EQ(play.writes, writes + 1);
 }
@@ -111,7 +111,7 @@
       continue;
     }
     EXPECT_EQ(play.All<PostNotices>()[0].notices.at(0).id, "a");
-    EXPECT_EQ(play.All<PostNotices>()[0].notices.at(0).end, End::kFailed);
+    EXPECT_EQ(play.All<PostNotices>()[0].notices.at(0).end, MessageEnd::kFailed);
     EXPECT_EQ(play.Restart().All<PostNotices>().size(), 0u);  // with the first turn of the next life
     play.Event_(NoticesTaken{{serial}});
     EXPECT_EQ(play.All<TellAnswerTold>().size(), 1u);
@@ -132,9 +132,9 @@
   ASSERT_EQ(posts.size(), 1u);
   ASSERT_EQ(posts[0].notices.size(), 2u);
   EXPECT_EQ(posts[0].notices[0].id, "a");
-  EXPECT_EQ(posts[0].notices[0].end, End::kReturned);
+  EXPECT_EQ(posts[0].notices[0].end, MessageEnd::kReturned);
   EXPECT_EQ(posts[0].notices[0].not_before, milliseconds(500));
-  EXPECT_EQ(posts[0].notices[1].end, End::kFailed);
+  EXPECT_EQ(posts[0].notices[1].end, MessageEnd::kFailed);
   play.Turn();
   EXPECT_TRUE(play.All<PostNotices>().empty());  // one batch at a time
   play.Event_(NoticesTaken{{returned, failed}});
--- a/tests/state_damage_test.cpp
+++ b/tests/state_damage_test.cpp
@@ -33,30 +33,30 @@
 
 // A journal of one record, changed in the part behind its frame, with its frame made to fit.
 template <typename Change>
-ReadJournal Changed(const Record& record, Change change) {
+ParsedJournal Changed(const Record& record, Change change) {
   std::string bytes;
   AppendRecord(bytes, record);
   std::string body = bytes.substr(kFrame);
   change(body);
-  return ParseJournal(JournalHead() + Framed(body));
+  return ParseJournal(JournalHeader() + Framed(body));
 }
 
-const std::vector<Record> kOneOfEach = {SomeTaken(1),
-                                        Attempted{1, "s-1", "z-2", seconds(3)},
-                                        Settled{1, Result::kTimeout},
-                                        Ended{1, End::kReturned, milliseconds(500)},
-                                        Noticed{1},
-                                        Resumed{1, {4, true, seconds(2), 1}, "z-1"},
-                                        Connecting{1, "s-1", "z-2", seconds(3)}};
+const std::vector<Record> kOneRecordOfEachKind = {SomeTaken(1),
+                                                  AttemptStarted{1, "s-1", "z-2", seconds(3)},
+                                                  AttemptFinished{1, Result::kTimeout},
+                                                  MessageEnded{1, MessageEnd::kReturned, milliseconds(500)},
+                                                  NoticeAccepted{1},
+                                                  AttemptHistory{1, {4, true, seconds(2), 1}, "z-1"},
+                                                  AttemptConnecting{1, "s-1", "z-2", seconds(3)}};
 
 // The frame fits, so only the record's own form tells: a field that is cut, missing or one too many.
 TEST(JournalDamage, ARecordOfAnotherLengthIsNone) {
-  for (const Record& record : kOneOfEach) {
+  for (const Record& record : kOneRecordOfEachKind) {
     EXPECT_EQ(Changed(record, [](std::string&) {}).records.size(), 1u);
-    const std::size_t size = RecordBytes(record) - kFrame;
+    const std::size_t size = RecordSize(record) - kFrame;
     for (std::size_t cut = 0; cut < size; ++cut)
-      EXPECT_NE(Changed(record, [&](std::string& body) { body.resize(cut); }).trouble, "") << record.index();
-    EXPECT_NE(Changed(record, [](std::string& body) { body += '\0'; }).trouble, "") << record.index();
+      EXPECT_NE(Changed(record, [&](std::string& body) { body.resize(cut); }).error, "") << record.index();
+    EXPECT_NE(Changed(record, [](std::string& body) { body += '\0'; }).error, "") << record.index();
   }
 }
 
@@ -66,26 +66,26 @@
   const auto last = [](char value, std::size_t back) {
     return [=](std::string& body) { body[body.size() - back] = value; };
   };
-  EXPECT_NE(Changed(Settled{1, Result::kOk}, last(9, 1)).trouble, "");
-  EXPECT_NE(Changed(Ended{1, End::kFailed, {}}, last(3, 9)).trouble, "");
-  EXPECT_NE(Changed(SomeTaken(1), last(3, 11)).trouble, "") << "effect";
-  EXPECT_NE(Changed(SomeTaken(1), last(3, 10)).trouble, "") << "group";
-  EXPECT_NE(Changed(SomeTaken(1), last(2, 1)).trouble, "") << "order";
-  EXPECT_NE(Changed(SomeTaken(1), [](std::string& body) { body[0] = 7; }).trouble, "") << "kind";
-  const Resumed resumed{1, {4, true, seconds(2), 1}, ""};
+  EXPECT_NE(Changed(AttemptFinished{1, Result::kOk}, last(9, 1)).error, "");
+  EXPECT_NE(Changed(MessageEnded{1, MessageEnd::kFailed, {}}, last(3, 9)).error, "");
+  EXPECT_NE(Changed(SomeTaken(1), last(3, 11)).error, "") << "effect";
+  EXPECT_NE(Changed(SomeTaken(1), last(3, 10)).error, "") << "group";
+  EXPECT_NE(Changed(SomeTaken(1), last(2, 1)).error, "") << "order";
+  EXPECT_NE(Changed(SomeTaken(1), [](std::string& body) { body[0] = 7; }).error, "") << "kind";
+  const AttemptHistory resumed{1, {4, true, seconds(2), 1}, ""};
   const std::size_t behind = 4 + 8;  // the zone's name, the first run
-  EXPECT_NE(Changed(resumed, last(2, behind + 1)).trouble, "") << "may have run";
-  EXPECT_NE(Changed(resumed, last('\xff', behind + 2)).trouble, "") << "attempts below 0";
+  EXPECT_NE(Changed(resumed, last(2, behind + 1)).error, "") << "may have run";
+  EXPECT_NE(Changed(resumed, last('\xff', behind + 2)).error, "") << "attempts below 0";
   for (const Serial serial : {Serial{0}, ~Serial{0}})
-    EXPECT_NE(Changed(SomeTaken(1), [&](std::string& b) { b.replace(1, 8, Number(serial, 8)); }).trouble, "");
+    EXPECT_NE(Changed(SomeTaken(1), [&](std::string& b) { b.replace(1, 8, Number(serial, 8)); }).error, "");
 }
 
 // The message of a journal that was taken up, as the module hears of it; the rest of the journal was `read`.
-Message Resumed_(const ReadJournal& read) {
+Message Resumed_(const ParsedJournal& read) {
   Play next;
   Recovered recovered;
   recovered.records = read.records;
-  recovered.unsure = Unsure(read);
+  recovered.unsure = MessagesInDoubt(read);
   next.Event_(recovered);
   return next.All<TellMessage>().at(0).message;
 }
@@ -103,10 +103,10 @@
   for (std::size_t at = taken; at < play.journal.size(); ++at) {
     std::string bad = play.journal;
     bad[at] = static_cast<char>(bad[at] ^ 0x20);
-    const ReadJournal read = ParseJournal(bad);
-    EXPECT_NE(read.trouble, "") << at;
+    const ParsedJournal read = ParseJournal(bad);
+    EXPECT_NE(read.error, "") << at;
     const Past past = Resumed_(read).past;
-    EXPECT_TRUE(past.may_have_run) << at << ' ' << read.trouble;
+    EXPECT_TRUE(past.may_have_run) << at << ' ' << read.error;
     EXPECT_EQ(past.first_run, read.records.size() > 2 ? seconds(5) : seconds(0)) << at;
   }
 }
@@ -115,7 +115,7 @@
 TEST(JournalDamage, ACallThatWaitedForItsConnectionMayHaveRun) {
   Play play;
   play.Send(play.Owe("a"));
-  const ReadJournal damaged = ParseJournal(play.journal + Framed("rubbish"));
+  const ParsedJournal damaged = ParseJournal(play.journal + Framed("rubbish"));
   EXPECT_TRUE(Resumed_(damaged).past.may_have_run);
   EXPECT_EQ(Resumed_(damaged).past.first_run, Micros(0));
   EXPECT_EQ(Resumed_(damaged).past.run_zone, kUnknownZone);
@@ -129,8 +129,8 @@
   const std::size_t taken = play.journal.size();
   play.Begin(serial);
   for (std::size_t size = taken; size < play.journal.size(); ++size) {
-    const ReadJournal read = ParseJournal(std::string_view(play.journal).substr(0, size));
-    EXPECT_TRUE(Unsure(read).empty()) << size;
+    const ParsedJournal read = ParseJournal(std::string_view(play.journal).substr(0, size));
+    EXPECT_TRUE(MessagesInDoubt(read).empty()) << size;
     EXPECT_FALSE(Resumed_(read).past.may_have_run) << size;
   }
 }
--- a/tests/state_journal_test.cpp
+++ b/tests/state_journal_test.cpp
@@ -63,82 +63,82 @@
   }
 }
 
-std::vector<Record> OneOfEach() {
+std::vector<Record> OneRecordOfEachKind() {
   return {SomeTaken(1, std::string("\0\r\n\xff", 4)),
-          Attempted{1, "s-1", "z-2", seconds(3)},
-          Settled{1, Result::kTimeout},
-          Resumed{1, {4, true, seconds(2), 1}, "z-1"},
-          Ended{1, End::kReturned, milliseconds(500)},
-          Noticed{1},
-          Connecting{1, "s-1", "z-2", seconds(3)}};
+          AttemptStarted{1, "s-1", "z-2", seconds(3)},
+          AttemptFinished{1, Result::kTimeout},
+          AttemptHistory{1, {4, true, seconds(2), 1}, "z-1"},
+          MessageEnded{1, MessageEnd::kReturned, milliseconds(500)},
+          NoticeAccepted{1},
+          AttemptConnecting{1, "s-1", "z-2", seconds(3)}};
 }
 
 std::string Encode(const std::vector<Record>& records) {
-  std::string bytes = JournalHead();
+  std::string bytes = JournalHeader();
   for (const Record& record : records) AppendRecord(bytes, record);
   return bytes;
 }
 
 TEST(Journal, EveryRecordComesBackAsItWas) {
-  const std::vector<Record> records = OneOfEach();
+  const std::vector<Record> records = OneRecordOfEachKind();
   ASSERT_EQ(records.size(), std::variant_size_v<Record>);
   const std::string bytes = Encode(records);
-  const ReadJournal read = ParseJournal(bytes);
-  EXPECT_EQ(read.trouble, "");
-  EXPECT_EQ(read.read, bytes.size());
+  const ParsedJournal read = ParseJournal(bytes);
+  EXPECT_EQ(read.error, "");
+  EXPECT_EQ(read.valid_bytes, bytes.size());
   EXPECT_EQ(Encode(read.records), bytes);
-  const auto& taken = std::get<Taken>(read.records.at(0));
+  const auto& taken = std::get<AcceptedMessage>(read.records.at(0));
   EXPECT_EQ(taken.body, std::string("\0\r\n\xff", 4));
   EXPECT_EQ(taken.destination, 7u);
   EXPECT_EQ(taken.give_up_at, seconds(20));
   EXPECT_EQ(taken.rules, SomeTaken(1).rules);
-  EXPECT_EQ(std::get<Attempted>(read.records.at(1)).zone, "z-2");
-  EXPECT_EQ(std::get<Settled>(read.records.at(2)).result, Result::kTimeout);
-  EXPECT_TRUE(std::get<Resumed>(read.records.at(3)).past.may_have_run);
-  EXPECT_EQ(std::get<Resumed>(read.records.at(3)).run_zone, "z-1");
-  EXPECT_EQ(std::get<Ended>(read.records.at(4)).not_before, milliseconds(500));
+  EXPECT_EQ(std::get<AttemptStarted>(read.records.at(1)).zone, "z-2");
+  EXPECT_EQ(std::get<AttemptFinished>(read.records.at(2)).result, Result::kTimeout);
+  EXPECT_TRUE(std::get<AttemptHistory>(read.records.at(3)).past.may_have_run);
+  EXPECT_EQ(std::get<AttemptHistory>(read.records.at(3)).run_zone, "z-1");
+  EXPECT_EQ(std::get<MessageEnded>(read.records.at(4)).not_before, milliseconds(500));
 }
 
 TEST(Journal, ATornTailLosesOnlyTheLastRecord) {
-  const std::vector<Record> records = OneOfEach();
+  const std::vector<Record> records = OneRecordOfEachKind();
   const std::string whole = Encode(records);
   const std::string before = Encode({records.begin(), records.end() - 1});
   for (std::size_t size = before.size(); size < whole.size(); ++size) {
-    const ReadJournal read = ParseJournal(std::string_view(whole).substr(0, size));
+    const ParsedJournal read = ParseJournal(std::string_view(whole).substr(0, size));
     EXPECT_EQ(read.records.size(), records.size() - 1) << size;
-    EXPECT_EQ(read.read, before.size()) << size;
-    EXPECT_EQ(read.trouble.empty(), size == before.size()) << size;
+    EXPECT_EQ(read.valid_bytes, before.size()) << size;
+    EXPECT_EQ(read.error.empty(), size == before.size()) << size;
   }
 }
 
 TEST(Journal, AWrongByteIsFoundAnywhere) {
-  const std::string whole = Encode(OneOfEach());
+  const std::string whole = Encode(OneRecordOfEachKind());
   for (std::size_t at = 0; at < whole.size(); ++at) {
     std::string bad = whole;
     bad[at] = static_cast<char>(bad[at] ^ 0x20);
-    const ReadJournal read = ParseJournal(bad);
-    EXPECT_NE(read.trouble, "") << at;
-    EXPECT_LT(read.records.size(), OneOfEach().size()) << at;
+    const ParsedJournal read = ParseJournal(bad);
+    EXPECT_NE(read.error, "") << at;
+    EXPECT_LT(read.records.size(), OneRecordOfEachKind().size()) << at;
   }
 }
 
 TEST(Journal, OtherVersionsAndRubbishYieldNothing) {
-  EXPECT_EQ(ParseJournal("").trouble, "");
-  EXPECT_EQ(ParseJournal("rubbish").trouble, "not a journal");
-  std::string newer = JournalHead();
+  EXPECT_EQ(ParseJournal("").error, "");
+  EXPECT_EQ(ParseJournal("rubbish").error, "not a journal");
+  std::string newer = JournalHeader();
   newer[newer.size() - 4] = 99;
-  EXPECT_EQ(ParseJournal(newer).trouble, "another version");
+  EXPECT_EQ(ParseJournal(newer).error, "another version");
   EXPECT_TRUE(ParseJournal(newer).records.empty());
 }
 
 TEST(Journal, SeededMutationsNeverCrash) {
   std::mt19937 random(7);
-  const std::string whole = Encode(OneOfEach());
+  const std::string whole = Encode(OneRecordOfEachKind());
   for (int round = 0; round < 20000; ++round) {
     std::string bad = whole;
     for (int i = 0; i < 4; ++i) bad[random() % bad.size()] = static_cast<char>(random());
     bad.resize(random() % (bad.size() + 1));
-    EXPECT_LE(ParseJournal(bad).read, bad.size());
+    EXPECT_LE(ParseJournal(bad).valid_bytes, bad.size());
   }
 }
 
--- a/tests/state_play.h
+++ b/tests/state_play.h
@@ -15,8 +15,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-inline Taken SomeTaken(Serial serial, std::string body = "body") {
-  Taken t;
+inline AcceptedMessage SomeTaken(Serial serial, std::string body = "body") {
+  AcceptedMessage t;
   t.serial = serial;
   t.id = "id" + std::to_string(serial);
   t.message_class = "notice";
--- a/tests/state_recent_test.cpp
+++ b/tests/state_recent_test.cpp
@@ -84,7 +84,7 @@
   ASSERT_EQ(posts.size(), 1u);
   ASSERT_EQ(posts[0].notices.size(), 1u);
   EXPECT_EQ(posts[0].notices[0].id, "a");
-  EXPECT_EQ(posts[0].notices[0].end, End::kFailed);
+  EXPECT_EQ(posts[0].notices[0].end, MessageEnd::kFailed);
   Play next;
   next.Event_(Recovered{ParseJournal(play.journal).records, Micros(0)});
   next.Turn();
--- a/tests/state_resumption_test.cpp
+++ b/tests/state_resumption_test.cpp
@@ -84,7 +84,7 @@
     play.Owe(id);
     promised.emplace_back(play.journal.size(), id);
   }
-  const std::string head = JournalHead();
+  const std::string head = JournalHeader();
   for (std::size_t size = 0; size <= play.journal.size(); ++size) {
     State state({100, 100000, {{"notice", 0}}, {{"acme", 1}}});
     Effects effects;
@@ -134,8 +134,8 @@
   }
 }
 
-// A Taken, an Attempted and a Resumed record as the program before version 3 wrote them, with numbers of
-// zones.
+// A AcceptedMessage, an AttemptStarted and a AttemptHistory record as the program before version 3 wrote
+// them, with numbers of zones.
 constexpr std::string_view kOldRecords =
     "45000000a5c10eb400010000000000000003000000696431060000006e6f74696365040000006163"
     "6d65020000006b31010000006f04000000626f64790700000000000000002d3101000000001c0000"
@@ -149,14 +149,14 @@
   return bytes;
 }
 
-// There an Attempted record may mean that a call waited for its connection, so unsure; and nobody noted the
-// rules of the message nor its zone's name: the strictest bind, and no zone is the one where it ran.
+// There an AttemptStarted record may mean that a call waited for its connection, so unsure; and nobody noted
+// the rules of the message nor its zone's name: the strictest bind, and no zone is the one where it ran.
 TEST(Resumption, AJournalOfAnOlderVersionIsReadAndItsMessagesGoByTheStrictest) {
   for (const char version : {'\1', '\2'}) {
     std::string old = "indigosaddle journal ";
     old += std::string({version, '\0', '\0', '\0'}) + FromHex(kOldRecords);
-    const ReadJournal read = ParseJournal(old);
-    EXPECT_EQ(read.trouble, "");
+    const ParsedJournal read = ParseJournal(old);
+    EXPECT_EQ(read.error, "");
     ASSERT_EQ(read.records.size(), 3u);
     Play next;
     next.Event_(Recovered{read.records, Micros(0)});
