--- a/src/node/node_connections.cpp
+++ b/src/node/node_connections.cpp
@@ -16,7 +16,7 @@
   log_.Write(base::kConnectionUnasked, unasked.endpoint, connection.number, NameOf(connection.state),
              connection.age, connection.in_state, connection.calls, unasked.last_id, NameOf(unasked.why),
              unasked.bytes, unasked.suspects, unasked.all_suspect);
-  if (unasked.wait > Micros(0)) Push(state::WaitTold{unasked.endpoint, unasked.wait});
+  if (unasked.wait > Micros(0)) Push(state::RetryAfterReceived{unasked.endpoint, unasked.wait});
 }
 
 void Node::OnNotBelieved(const net::DisbelievedAnswer& answer) {
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -49,11 +49,11 @@
   list_lost_at_ = Micros(0);
   if (const std::uint64_t untold = watch_losses_.Over(); untold > 0) log_.Write(base::kWatchBack, untold);
   for (const std::string& skipped : news.skipped) log_.Write(base::kListSkipped, news.version, skipped);
-  state::ListNews event;
+  state::ListUpdate event;
   event.whole = news.whole;
-  event.unsure = std::move(news.unsure);
+  event.unreadable = std::move(news.unsure);
   for (net::Member& member : news.members) {
-    state::Listed listed;
+    state::ListedEndpoint listed;
     listed.endpoint.zone = zone_numbers_.Of(config_.zones, member.site, member.host);
     listed.endpoint.id = std::move(member.host);
     listed.endpoint.kind = NumberOf(config_.kinds, member.kind);
@@ -71,10 +71,12 @@
 void Node::OnWatchLost(std::string_view reason, Micros outdated_from) {
   if (watch_losses_.Happened(reason)) log_.Write(base::kWatchLost, reason);
   if (list_lost_at_ == Micros(0)) list_lost_at_ = loop_.Now();
-  Push(state::ListLost{outdated_from});
+  Push(state::ListWatchLost{outdated_from});
 }
 
-void Node::OnNoticesTaken(const std::vector<std::uint64_t>& serials) { Push(state::NoticesTaken{serials}); }
+void Node::OnNoticesTaken(const std::vector<std::uint64_t>& serials) {
+  Push(state::NoticesAccepted{serials});
+}
 
 void Node::OnNoticeUnreadable(std::string_view line) { log_.Write(base::kNoticeUnreadable, line); }
 
@@ -91,7 +93,7 @@
   if (!May(action)) return std::nullopt;
   if (owed->second.connecting) {                  // else on record since its turn
     if (state_.rewrite_due) return std::nullopt;  // the file is in doubt
-    Reduce(state::CallBegins{serial});
+    Reduce(state::CallConnected{serial});
     if (journal_failed_) return std::nullopt;
   }
   Did(action);
--- a/src/node/node_journals.cpp
+++ b/src/node/node_journals.cpp
@@ -30,7 +30,7 @@
 }
 
 void Add(state::ParsedJournal journal, state::Recovered& recovered) {
-  recovered.unsure.merge(state::MessagesInDoubt(journal));
+  recovered.in_doubt.merge(state::MessagesInDoubt(journal));
   for (state::Record& record : journal.records) recovered.records.push_back(std::move(record));
 }
 
@@ -66,7 +66,7 @@
     if (!more.error.empty()) log_.Write(base::kJournalDamaged, more.error, more.valid_bytes, next.size());
     Add(std::move(more), recovered);
   }
-  if (!owner) recovered.numbered_past = highest + kSuccessorGap;
+  if (!owner) recovered.min_last_serial = highest + kSuccessorGap;
   return true;
 }
 
--- a/src/node/node_stop.cpp
+++ b/src/node/node_stop.cpp
@@ -46,7 +46,7 @@
 }
 
 // The module begins no call that should not end by then.
-void Node::TellCallsEnd() { Push(state::StopAsked{lifecycle_.CallsEndBy(loop_.Now())}); }
+void Node::TellCallsEnd() { Push(state::StopRequested{lifecycle_.CallsEndBy(loop_.Now())}); }
 
 void Node::Stop() {
   if (lifecycle_.stopping()) return;
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -53,7 +53,7 @@
   for (state::Event& event : std::exchange(events_, {})) {
     auto* message = std::get_if<state::ClientMessage>(&event);
     // Once granted it holds for the turn: its +OK comes behind all of the turn's events.
-    if (message != nullptr) message->may_take = may_take = may_take || May(Action::kTake);
+    if (message != nullptr) message->may_accept = may_take = may_take || May(Action::kTake);
     Reduce(event);
     // A client that has closed meanwhile has withdrawn, though the loop has not read that yet.
     if (message != nullptr && server_.Gone(message->client.connection)) {
@@ -199,7 +199,7 @@
   const bool connected = listed != state_.listed.end() &&
                          on_idle_[endpoint] < pool_.idle(endpoint, listed->second.dial, FirstCallOnly(id));
   on_idle_[endpoint] += connected ? 1 : 0;
-  decisions_.emplace_back(state::WantsSend{id, endpoint, timeout, now_, connected});
+  decisions_.emplace_back(state::SendRequested{id, endpoint, timeout, now_, connected});
 }
 bool Node::FirstCallOnly(state::Serial serial) const {
   const auto owed = state_.owed.find(serial);
@@ -207,12 +207,12 @@
 }
 bool Node::Refuse(MessageId id, Micros not_before, GiveUpCause cause) {
   if (watcher_) watcher_->Refused(id);
-  decisions_.emplace_back(state::WantsRefusal{id, not_before, cause});
+  decisions_.emplace_back(state::ReturnRequested{id, not_before, cause});
   return AnswersItsClient(id);
 }
 bool Node::Fail(MessageId id, GiveUpCause cause) {
   if (watcher_) watcher_->Failed(id);
-  decisions_.emplace_back(state::WantsFailure{id, cause});
+  decisions_.emplace_back(state::FailRequested{id, cause});
   return AnswersItsClient(id);
 }
 // Else the end is a notice, and told once the platform has it.
@@ -220,10 +220,10 @@
   const auto owed = state_.owed.find(serial);
   return owed != state_.owed.end() && owed->second.unanswered.has_value();
 }
-void Node::SetTimer(Micros at) { decisions_.emplace_back(state::WantsTimer{at}); }
-void Node::Watch() { decisions_.emplace_back(state::WantsWatch{}); }
+void Node::SetTimer(Micros at) { decisions_.emplace_back(state::TimerRequested{at}); }
+void Node::Watch() { decisions_.emplace_back(state::WatchRequested{}); }
 void Node::CloseIdle(const EndpointId& endpoint) {
-  decisions_.emplace_back(state::WantsIdleClosed{endpoint});
+  decisions_.emplace_back(state::CloseIdleRequested{endpoint});
 }
 
 }  // namespace indigosaddle::node
--- a/src/state/effects.h
+++ b/src/state/effects.h
@@ -86,7 +86,7 @@
   MessageEnd end = MessageEnd::kFailed;
   Micros not_before{0};
 };
-struct PostNotices {  // answered by NoticesTaken, however long that takes
+struct PostNotices {  // answered by NoticesAccepted, however long that takes
   std::vector<Notice> notices;
 };
 struct ArmTimer {
--- a/src/state/events.h
+++ b/src/state/events.h
@@ -23,7 +23,7 @@
 };
 
 // An entry of discovery's list, as the module and the calls need it.
-struct Listed {
+struct ListedEndpoint {
   Endpoint endpoint;
   std::string dial;
 };
@@ -31,25 +31,25 @@
 struct Recovered {  // first: what the journal folder held, and from where numbers go on
   std::vector<Record> records;
   Micros now{0};
-  Serial numbered_past = 0;   // a successor numbers its messages past those of the process that it replaces
-  std::set<Serial> unsure{};  // of these, those of which a record was lost
+  Serial min_last_serial = 0;   // a successor numbers its messages past those of the process that it replaces
+  std::set<Serial> in_doubt{};  // of these, those of which a record was lost
 };
 struct ClientMessage {
   ClientRef client;
   Micros at{0};             // when it was read
   AcceptedMessage message;  // its serial is given by the reducer
   int message_class = 0, tenant = 0;
-  bool may_take = true;  // else only what is owed already is answered as taken on
+  bool may_accept = true;  // else only what is owed already is answered as taken on
 };
 struct ClientGone {
   std::uint64_t connection = 0;
 };
-struct ListNews {
-  std::vector<Listed> entries;
+struct ListUpdate {
+  std::vector<ListedEndpoint> entries;
   bool whole = false;
-  std::vector<EndpointId> unsure = {};  // of which an entry could not be read: nothing new is sent there
+  std::vector<EndpointId> unreadable = {};  // of which an entry could not be read: nothing new is sent there
 };
-struct ListLost {
+struct ListWatchLost {
   Micros outdated_from{0};  // unless a list comes before; Micros::max(): not by this
 };
 struct CallEnded {
@@ -59,17 +59,17 @@
   LoadReport load;
   Micros at{0};
 };
-struct WaitTold {  // by an endpoint, outside of a call's answer
+struct RetryAfterReceived {  // by an endpoint, outside of a call's answer
   EndpointId endpoint;
   Micros wait{0};
 };
 struct AnswersDoubted {  // answers that ended these messages may have been others' on their connections
   std::vector<Serial> serials;
 };
-struct NoticesTaken {  // answered by the platform: nothing more is owed for these
+struct NoticesAccepted {  // answered by the platform: nothing more is owed for these
   std::vector<Serial> serials;
 };
-struct StopAsked {
+struct StopRequested {
   Micros ends_at{0};
 };
 struct SettingsChanged {  // numbers of classes and tenants stay, names may have come or gone
@@ -77,38 +77,38 @@
   std::size_t most_open = 0;
   std::map<std::string, int> classes, tenants;
 };
-struct CallBegins {  // its connection is up; its first byte leaves once the record is written
+struct CallConnected {  // its connection is up; its first byte leaves once the record is written
   Serial serial = 0;
 };
-struct WantsSend {  // these six are the module's decisions
+struct SendRequested {  // these six are the module's decisions
   Serial serial = 0;
   EndpointId endpoint;
   Micros timeout{0}, now{0};
   bool connected = false;  // an idle connection is there, so that it begins in this turn
 };
-struct WantsRefusal {
+struct ReturnRequested {
   Serial serial = 0;
   Micros not_before{0};
   GiveUpCause cause = GiveUpCause::kOutOfTime;
 };
-struct WantsFailure {
+struct FailRequested {
   Serial serial = 0;
   GiveUpCause cause = GiveUpCause::kOutOfTime;
 };
-struct WantsTimer {
+struct TimerRequested {
   Micros at{0};
 };
-struct WantsWatch {};
-struct WantsIdleClosed {
+struct WatchRequested {};
+struct CloseIdleRequested {
   EndpointId endpoint;
 };
 struct TurnEnded {};
 struct JournalWritten {
   bool ok = false;
 };
-using Event =
-    std::variant<Recovered, ClientMessage, ClientGone, ListNews, ListLost, CallBegins, CallEnded, WaitTold,
-                 AnswersDoubted, NoticesTaken, StopAsked, SettingsChanged, WantsSend, WantsRefusal,
-                 WantsFailure, WantsTimer, WantsWatch, WantsIdleClosed, TurnEnded, JournalWritten>;
+using Event = std::variant<Recovered, ClientMessage, ClientGone, ListUpdate, ListWatchLost, CallConnected,
+                           CallEnded, RetryAfterReceived, AnswersDoubted, NoticesAccepted, StopRequested,
+                           SettingsChanged, SendRequested, ReturnRequested, FailRequested, TimerRequested,
+                           WatchRequested, CloseIdleRequested, TurnEnded, JournalWritten>;
 
 }  // namespace indigosaddle::state
--- a/src/state/list_news.h
+++ b/src/state/list_news.h
@@ -10,7 +10,7 @@
 
 namespace indigosaddle::state {
 
-using ListedById = std::map<EndpointId, Listed>;
+using ListedById = std::map<EndpointId, ListedEndpoint>;
 
 // The module knows an endpoint by its destination as well: one that has another now is gone from the old one.
 inline void TellMoved(const ListedById& listed, const Endpoint& now, TellList& told) {
@@ -28,10 +28,10 @@
   told.entries.push_back(it->second.endpoint);
 }
 
-inline void TakeList(ListedById& listed, const ListNews& news, Effects& effects) {
+inline void TakeList(ListedById& listed, const ListUpdate& news, Effects& effects) {
   TellList told{{}, news.whole};
   ListedById before = news.whole ? std::exchange(listed, {}) : ListedById();
-  for (const Listed& entry : news.entries) {
+  for (const ListedEndpoint& entry : news.entries) {
     TellMoved(listed, entry.endpoint, told);
     told.entries.push_back(entry.endpoint);
     before.erase(entry.endpoint.id);
@@ -41,7 +41,7 @@
       before.insert(std::move(node));
     }
   }
-  for (const EndpointId& id : news.unsure) TellUnsure(listed, id, told);
+  for (const EndpointId& id : news.unreadable) TellUnsure(listed, id, told);
   for (const auto& [id, gone] : before) effects.emplace_back(CloseIdle{id});
   effects.emplace_back(std::move(told));
 }
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -22,7 +22,7 @@
   // At the start, and again where a successor takes over what the process before it left: only what the
   // records bring is resumed, for messages that this process took are its own.
   void operator()(const Recovered& e) {
-    state_.last_serial = std::max(state_.last_serial, e.numbered_past);
+    state_.last_serial = std::max(state_.last_serial, e.min_last_serial);
     state_.heard_at = std::max(state_.heard_at, e.now);
     std::set<Serial> before;
     for (const auto& [serial, owed] : state_.owed) before.insert(serial);
@@ -37,7 +37,7 @@
       Owed& owed = state_.owed.at(serial);
       // Cut off: it may have run, unless its connection was never up.
       if (owed.out) keep_(AttemptFinished{serial, owed.connecting ? Result::kNoConnection : Result::kReset});
-      if (e.unsure.contains(serial)) keep_.Doubt(owed);
+      if (e.in_doubt.contains(serial)) keep_.Doubt(owed);
       if (!owed.ended) {
         ++resumed;
         const AcceptedMessage& taken = owed.taken;
@@ -60,7 +60,7 @@
     state_.recent.Forget(state_.heard_at);
     state_.refusals.Forget(state_.heard_at);
     if (SameOnceMore(e)) return;
-    if (!e.may_take) return Answer_(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kStopping);
+    if (!e.may_accept) return Answer_(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kStopping);
     const std::size_t room = RecordSize(e.message) + kLaterRecords;
     const bool full = state_.limits.most_open > 0 && state_.open() >= state_.limits.most_open;
     if (full || state_.room + room > state_.limits.journal_bytes * kOwedOfJournal / 100) {
@@ -85,8 +85,8 @@
     }
   }
 
-  void operator()(const ListNews& e) { TakeList(state_.listed, e, effects_); }
-  void operator()(const ListLost& e) { effects_.emplace_back(TellListLost{e.outdated_from}); }
+  void operator()(const ListUpdate& e) { TakeList(state_.listed, e, effects_); }
+  void operator()(const ListWatchLost& e) { effects_.emplace_back(TellListLost{e.outdated_from}); }
 
   void operator()(const CallEnded& e) {
     Owed* owed = keep_.Find(e.serial);
@@ -115,7 +115,7 @@
     keep_.Drop(e.serial);
   }
 
-  void operator()(const WaitTold& e) { effects_.emplace_back(TellWait{e.endpoint, e.wait}); }
+  void operator()(const RetryAfterReceived& e) { effects_.emplace_back(TellWait{e.endpoint, e.wait}); }
 
   // The end is told after all: that does no harm where the answer was the message's own.
   void operator()(const AnswersDoubted& e) {
@@ -127,7 +127,7 @@
     }
   }
 
-  void operator()(const NoticesTaken& e) {
+  void operator()(const NoticesAccepted& e) {
     state_.notices_out = false;
     for (Serial serial : e.serials) {
       if (!state_.notices.contains(serial)) continue;
@@ -137,7 +137,7 @@
     }
   }
 
-  void operator()(const StopAsked& e) { effects_.emplace_back(TellStop{e.ends_at}); }
+  void operator()(const StopRequested& e) { effects_.emplace_back(TellStop{e.ends_at}); }
 
   void operator()(const SettingsChanged& e) {
     state_.limits.most_open = e.most_open;
@@ -146,7 +146,7 @@
     effects_.emplace_back(TellSettings{e.settings});
   }
 
-  void operator()(const WantsSend& e) {
+  void operator()(const SendRequested& e) {
     Owed* owed = keep_.Find(e.serial);
     const auto listed = state_.listed.find(e.endpoint);
     if (owed == nullptr || owed->ended || owed->out || listed == state_.listed.end()) return;
@@ -162,14 +162,16 @@
         StartCall{e.serial, e.endpoint, listed->second.dial, t.id, t.idempotency_key, t.body, e.timeout});
   }
 
-  void operator()(const WantsRefusal& e) { Finish(e.serial, MessageEnd::kReturned, e.not_before, e.cause); }
-  void operator()(const WantsFailure& e) { Finish(e.serial, MessageEnd::kFailed, Micros(0), e.cause); }
-  void operator()(const WantsTimer& e) { effects_.emplace_back(ArmTimer{e.at}); }
-  void operator()(const WantsWatch&) { effects_.emplace_back(RenewWatch{}); }
-  void operator()(const WantsIdleClosed& e) { effects_.emplace_back(CloseIdle{e.endpoint}); }
+  void operator()(const ReturnRequested& e) {
+    Finish(e.serial, MessageEnd::kReturned, e.not_before, e.cause);
+  }
+  void operator()(const FailRequested& e) { Finish(e.serial, MessageEnd::kFailed, Micros(0), e.cause); }
+  void operator()(const TimerRequested& e) { effects_.emplace_back(ArmTimer{e.at}); }
+  void operator()(const WatchRequested&) { effects_.emplace_back(RenewWatch{}); }
+  void operator()(const CloseIdleRequested& e) { effects_.emplace_back(CloseIdle{e.endpoint}); }
 
   // Between turns, or where a turn's calls start: nothing else is staged then, unless the file is in doubt.
-  void operator()(const CallBegins& e) {
+  void operator()(const CallConnected& e) {
     Owed* owed = keep_.Find(e.serial);
     if (owed == nullptr || !owed->connecting || state_.rewrite_due) return;
     Record_(AttemptStarted{e.serial, owed->endpoint, owed->out_zone, owed->sent});
--- a/src/state/reducer.h
+++ b/src/state/reducer.h
@@ -48,7 +48,7 @@
   RecentEnds recent;                              // over, and their time is not
   RecentRefusals refusals;
   Micros heard_at{0};  // the latest command
-  std::map<EndpointId, Listed> listed;
+  std::map<EndpointId, ListedEndpoint> listed;
   Serial last_serial = 0;
   std::size_t journal_size = 0, room = 0;  // bytes in the file; set aside for all that is owed
   bool rewrite_due = false;                // the file may be damaged
--- a/tests/state_calls_test.cpp
+++ b/tests/state_calls_test.cpp
@@ -14,7 +14,7 @@
   Play play;
   const Serial serial = play.Owe("a");
   play.effects.clear();
-  play.Event_(WantsSend{serial, "s-1", seconds(1), seconds(5)});
+  play.Event_(SendRequested{serial, "s-1", seconds(1), seconds(5)});
   EXPECT_TRUE(play.All<StartCall>().empty());
   play.Turn();
   const auto calls = play.Fresh<StartCall>();
@@ -24,12 +24,12 @@
   EXPECT_EQ(calls[0].idempotency_key, "k0");
   EXPECT_EQ(calls[0].body, "b");
   ASSERT_TRUE(std::holds_alternative<AttemptConnecting>(ParseJournal(play.journal).records.back()));
-  play.Event_(CallBegins{serial});  // its connection is up, and its first byte may leave
+  play.Event_(CallConnected{serial});  // its connection is up, and its first byte may leave
   const auto records = ParseJournal(play.journal).records;
   ASSERT_TRUE(std::holds_alternative<AttemptStarted>(records.back()));
   EXPECT_EQ(std::get<AttemptStarted>(records.back()).zone, "z-3");
   const int writes = play.writes;
-  play.Event_(CallBegins{serial});  // it is on record
+  play.Event_(CallConnected{serial});  // it is on record
   EXPECT_EQ(play.writes, writes);
 }
 
@@ -39,11 +39,11 @@
   const Serial serial = play.Owe("a");
   play.effects.clear();
   const int writes = play.writes;
-  play.Event_(WantsSend{serial, "s-1", seconds(1), seconds(5), true});
+  play.Event_(SendRequested{serial, "s-1", seconds(1), seconds(5), true});
   play.Turn();
   ASSERT_EQ(play.All<StartCall>().size(), 1u);
   ASSERT_TRUE(std::holds_alternative<AttemptStarted>(ParseJournal(play.journal).records.back()));
-  play.Event_(CallBegins{serial});
+  play.Event_(CallConnected{serial});
   EXPECT_EQ(play.writes, writes + 1);
 }
 
@@ -53,7 +53,7 @@
   const Serial serial = play.Owe("a");
   play.Send(serial);
   play.disk_ok = false;
-  play.Event_(CallBegins{serial});
+  play.Event_(CallConnected{serial});
   EXPECT_TRUE(play.state.rewrite_due);
   play.effects.clear();
   play.End(serial, AttemptResult::kNotStarted);  // as the pool says it
@@ -113,7 +113,7 @@
     EXPECT_EQ(play.All<PostNotices>()[0].notices.at(0).id, "a");
     EXPECT_EQ(play.All<PostNotices>()[0].notices.at(0).end, MessageEnd::kFailed);
     EXPECT_EQ(play.Restart().All<PostNotices>().size(), 0u);  // with the first turn of the next life
-    play.Event_(NoticesTaken{{serial}});
+    play.Event_(NoticesAccepted{{serial}});
     EXPECT_EQ(play.All<TellAnswerTold>().size(), 1u);
     EXPECT_TRUE(play.state.owed.empty());
   }
@@ -123,9 +123,9 @@
   Play play;
   const Serial returned = play.Owe("a"), failed = play.Owe("b");
   play.effects.clear();
-  play.Event_(WantsRefusal{returned, milliseconds(500)});
-  play.Event_(WantsFailure{failed});
-  play.Event_(WantsFailure{failed});
+  play.Event_(ReturnRequested{returned, milliseconds(500)});
+  play.Event_(FailRequested{failed});
+  play.Event_(FailRequested{failed});
   EXPECT_TRUE(play.All<PostNotices>().empty());
   play.Turn();
   auto posts = play.Fresh<PostNotices>();
@@ -137,7 +137,7 @@
   EXPECT_EQ(posts[0].notices[1].end, MessageEnd::kFailed);
   play.Turn();
   EXPECT_TRUE(play.All<PostNotices>().empty());  // one batch at a time
-  play.Event_(NoticesTaken{{returned, failed}});
+  play.Event_(NoticesAccepted{{returned, failed}});
   play.Turn();
   EXPECT_TRUE(play.state.owed.empty());
   EXPECT_EQ(play.state.room, 0u);
@@ -149,7 +149,7 @@
 TEST(Reducer, NothingIsSentForAMessageThatIsOver) {
   Play play;
   const Serial serial = play.Owe("a");
-  play.Event_(WantsFailure{serial});
+  play.Event_(FailRequested{serial});
   play.effects.clear();
   play.Send(serial);
   EXPECT_TRUE(play.All<StartCall>().empty());
@@ -159,9 +159,9 @@
   Play play;
   const Serial serial = play.Owe("a");
   play.Send(serial);
-  play.Event_(WantsFailure{serial});
+  play.Event_(FailRequested{serial});
   play.Turn();
-  play.Event_(NoticesTaken{{serial}});
+  play.Event_(NoticesAccepted{{serial}});
   play.effects.clear();
   play.End(serial, AttemptResult::kTimedOut);
   ASSERT_EQ(play.All<TellOutcome>().size(), 1u);
--- a/tests/state_damage_test.cpp
+++ b/tests/state_damage_test.cpp
@@ -85,7 +85,7 @@
   Play next;
   Recovered recovered;
   recovered.records = read.records;
-  recovered.unsure = MessagesInDoubt(read);
+  recovered.in_doubt = MessagesInDoubt(read);
   next.Event_(recovered);
   return next.All<TellMessage>().at(0).message;
 }
--- a/tests/state_odd_list_test.cpp
+++ b/tests/state_odd_list_test.cpp
@@ -27,18 +27,18 @@
 // Left as it was, an endpoint of which a change could not be read went on getting new messages.
 TEST(OddListNews, AKnownEndpointThatIsUnsureDrainsUntilItsNextEntry) {
   Play play;
-  play.Event_(ListNews{{}, false, {"s-1", "never-listed"}});
+  play.Event_(ListUpdate{{}, false, {"s-1", "never-listed"}});
   EXPECT_EQ(Told(play), Words{"s-1 7 draining"});
-  play.Event_(ListNews{{}, false, {}});
+  play.Event_(ListUpdate{{}, false, {}});
   EXPECT_EQ(Told(play), Words{});
-  play.Event_(ListNews{{{{"s-1", 3, 0, 7, EndpointState::kReady}, "127.0.0.1:1"}}, true, {}});
+  play.Event_(ListUpdate{{{{"s-1", 3, 0, 7, EndpointState::kReady}, "127.0.0.1:1"}}, true, {}});
   EXPECT_EQ(Told(play), Words{"s-1 7 ready"});
 }
 
 // In a whole list it is gone, as any that the list does not name.
 TEST(OddListNews, InAWholeListAnUnsureEndpointIsNotListed) {
   Play play;
-  play.Event_(ListNews{{}, true, {"s-1"}});
+  play.Event_(ListUpdate{{}, true, {"s-1"}});
   EXPECT_EQ(Told(play), Words{});
   EXPECT_EQ(play.state.listed.count("s-1"), 0u);
 }
@@ -46,9 +46,9 @@
 // Told of its new destination alone, the module kept the endpoint ready for the old one's messages too.
 TEST(OddListNews, AnEndpointThatChangesItsDestinationIsGoneFromTheOldOne) {
   Play play;
-  play.Event_(ListNews{{{{"s-1", 3, 0, 8, EndpointState::kReady}, "127.0.0.1:1"}}, false, {}});
+  play.Event_(ListUpdate{{{{"s-1", 3, 0, 8, EndpointState::kReady}, "127.0.0.1:1"}}, false, {}});
   EXPECT_EQ(Told(play), (Words{"s-1 7 gone", "s-1 8 ready"}));
-  play.Event_(ListNews{{{{"s-1", 3, 0, 9, EndpointState::kGone}, ""}}, false, {}});
+  play.Event_(ListUpdate{{{{"s-1", 3, 0, 9, EndpointState::kGone}, ""}}, false, {}});
   EXPECT_EQ(Told(play), (Words{"s-1 8 gone", "s-1 9 gone"}));
 }
 
--- a/tests/state_play.h
+++ b/tests/state_play.h
@@ -37,7 +37,7 @@
       : state({most_open, journal_bytes, {{"notice", 0}}, {{"acme", 1}}, {{"z-3", 3}, {"z-2", 2}}}) {
     Event_(Recovered{});
     Turn();
-    Event_(ListNews{{{{"s-1", 3, 0, 7, EndpointState::kReady}, "127.0.0.1:1"}}, true});
+    Event_(ListUpdate{{{{"s-1", 3, 0, 7, EndpointState::kReady}, "127.0.0.1:1"}}, true});
     effects.clear();
     writes = rewrites = 0;
   }
@@ -63,7 +63,7 @@
   void Turn() { Event_(TurnEnded{}); }
   void Take(const std::string& id, std::uint64_t connection = 1, std::string body = "b") {
     ClientMessage e;
-    e.may_take = may_take;
+    e.may_accept = may_accept;
     e.client = {connection, ++commands};
     e.message = SomeTaken(0, std::move(body));
     e.message.id = id;
@@ -76,13 +76,13 @@
     return state.by_id.at(id);
   }
   void Send(Serial serial) {
-    Event_(WantsSend{serial, "s-1", seconds(1), seconds(5)});
+    Event_(SendRequested{serial, "s-1", seconds(1), seconds(5)});
     Turn();
   }
   // The same, and its connection is up.
   void Begin(Serial serial) {
     Send(serial);
-    Event_(CallBegins{serial});
+    Event_(CallConnected{serial});
   }
   void End(Serial serial, AttemptResult attempt_result) {
     Event_(CallEnded{serial, attempt_result, milliseconds(9), {}, {}});
@@ -112,7 +112,7 @@
   }
 
   State state;
-  bool may_take = true;  // whether intake is open
+  bool may_accept = true;  // whether intake is open
   Effects effects;
   std::string journal;
   std::size_t most = 0;
--- a/tests/state_recent_test.cpp
+++ b/tests/state_recent_test.cpp
@@ -11,7 +11,7 @@
   void Deliver(const std::string& id) {
     play.Owe(id);
     const Serial serial = play.state.last_serial;
-    play.Event_(WantsSend{serial, "s-1", seconds(1), Micros(0), true});
+    play.Event_(SendRequested{serial, "s-1", seconds(1), Micros(0), true});
     play.Turn();
     play.Event_(
         CallEnded{serial, AttemptResult::kDelivered, milliseconds(1), Micros(0), {}, milliseconds(1)});
@@ -90,7 +90,7 @@
   next.Turn();
   ASSERT_EQ(next.All<PostNotices>().size(), 1u);
   EXPECT_EQ(next.All<PostNotices>()[0].notices[0].id, "a");
-  play.Event_(NoticesTaken{{serial}});
+  play.Event_(NoticesAccepted{{serial}});
   play.Turn();
   EXPECT_TRUE(play.state.owed.empty());
   EXPECT_EQ(AnswerTo("a"), Answer::kTaken);
--- a/tests/state_resumption_test.cpp
+++ b/tests/state_resumption_test.cpp
@@ -23,7 +23,7 @@
   play.End(error, AttemptResult::kError);
   play.Begin(over);
   play.End(over, AttemptResult::kDelivered);
-  play.Event_(WantsFailure{notice});
+  play.Event_(FailRequested{notice});
   play.Turn();
 
   Play next = play.Restart();
@@ -100,10 +100,10 @@
   for (const bool begun : {false, true}) {
     Play play;
     const Serial serial = play.Owe("a");
-    play.Event_(WantsSend{serial, "s-1", seconds(1), seconds(5), false});
+    play.Event_(SendRequested{serial, "s-1", seconds(1), seconds(5), false});
     play.Turn();
     ASSERT_EQ(play.All<StartCall>().size(), 1u);
-    if (begun) play.Event_(CallBegins{serial});
+    if (begun) play.Event_(CallConnected{serial});
     Play next = play.Restart();
     for (int life = 0; life < 2; ++life, next = next.Restart()) {  // the second from a rewritten journal
       const auto told = next.All<TellMessage>();
@@ -121,9 +121,9 @@
   for (const bool begun : {false, true}) {
     Play play;
     const Serial serial = play.Owe("a");
-    play.Event_(WantsSend{serial, "s-1", seconds(1), seconds(5), false});
+    play.Event_(SendRequested{serial, "s-1", seconds(1), seconds(5), false});
     play.Turn();
-    if (begun) play.Event_(CallBegins{serial});
+    if (begun) play.Event_(CallConnected{serial});
     play.state.rewrite_due = true;
     play.Turn();
     ASSERT_EQ(play.rewrites, 1);
@@ -194,10 +194,10 @@
 TEST(Resumption, CutAtAnyByteOfACallsRecordItHasNotBegun) {
   Play play;
   const Serial serial = play.Owe("a");
-  play.Event_(WantsSend{serial, "s-1", seconds(1), seconds(5), false});
+  play.Event_(SendRequested{serial, "s-1", seconds(1), seconds(5), false});
   play.Turn();
   const std::size_t before = play.journal.size();
-  play.Event_(CallBegins{serial});
+  play.Event_(CallConnected{serial});
   ASSERT_GT(play.journal.size(), before);
   for (std::size_t size = before; size <= play.journal.size(); ++size) {
     Play next;
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -29,9 +29,9 @@
 TEST(Reducer, ARefusalOrFailureInTheSameTurnAnswersTheClientAndLeavesNoTrace) {
   Play play;
   play.Take("a");
-  play.Event_(WantsRefusal{play.state.by_id.at("a"), milliseconds(700)});
+  play.Event_(ReturnRequested{play.state.by_id.at("a"), milliseconds(700)});
   play.Take("b");
-  play.Event_(WantsFailure{play.state.by_id.at("b")});
+  play.Event_(FailRequested{play.state.by_id.at("b")});
   play.Turn();
   const auto replies = play.All<Reply>();
   ASSERT_EQ(replies.size(), 2u);
@@ -76,7 +76,7 @@
   Play play;
   play.Owe("a");
   play.effects.clear();
-  play.may_take = false;
+  play.may_accept = false;
   play.Take("a", 2);
   play.Take("b", 3);
   play.Turn();
@@ -128,10 +128,10 @@
     const Serial serial = play.Owe("m" + std::to_string(i));
     play.Send(serial);
     play.End(serial, i % 3 == 0 ? AttemptResult::kError : AttemptResult::kDelivered);
-    if (i % 3 == 0) play.Event_(WantsFailure{serial});
+    if (i % 3 == 0) play.Event_(FailRequested{serial});
     play.Turn();
     if (play.state.notices_out) {
-      play.Event_(NoticesTaken{{serial}});
+      play.Event_(NoticesAccepted{{serial}});
       play.Turn();
     }
     // During a rewrite both files stand there, each in whole blocks.
@@ -152,8 +152,8 @@
   play.disk_ok = false;
   play.Take("new");
   const Serial fresh = play.state.by_id.at("new");
-  play.Event_(WantsSend{fresh, "s-1", seconds(1), seconds(5)});
-  play.Event_(WantsSend{old, "s-1", seconds(1), seconds(5)});
+  play.Event_(SendRequested{fresh, "s-1", seconds(1), seconds(5)});
+  play.Event_(SendRequested{old, "s-1", seconds(1), seconds(5)});
   play.Turn();
   EXPECT_TRUE(play.All<StartCall>().empty());
   ASSERT_EQ(play.All<Reply>().size(), 1u);
@@ -178,27 +178,27 @@
   Play play;
   const Serial serial = play.Owe("a");
   play.effects.clear();
-  play.Event_(ListNews{{{{"s-2", 0, 0, 7, EndpointState::kReady}, "127.0.0.1:2"},
-                        {{"s-1", 3, 0, 7, EndpointState::kDraining}, "127.0.0.1:1"}},
-                       false});
+  play.Event_(ListUpdate{{{{"s-2", 0, 0, 7, EndpointState::kReady}, "127.0.0.1:2"},
+                          {{"s-1", 3, 0, 7, EndpointState::kDraining}, "127.0.0.1:1"}},
+                         false});
   ASSERT_EQ(play.All<TellList>().size(), 1u);
   EXPECT_EQ(play.All<TellList>()[0].entries.size(), 2u);
   EXPECT_FALSE(play.All<TellList>()[0].whole);
-  play.Event_(WantsSend{serial, "s-2", seconds(1), seconds(5)});
+  play.Event_(SendRequested{serial, "s-2", seconds(1), seconds(5)});
   play.Turn();
   EXPECT_EQ(play.All<StartCall>().at(0).dial, "127.0.0.1:2");
-  play.Event_(ListLost{});
+  play.Event_(ListWatchLost{});
   EXPECT_EQ(play.All<TellListLost>().size(), 1u);
-  play.Event_(WantsIdleClosed{"s-2"});
+  play.Event_(CloseIdleRequested{"s-2"});
   EXPECT_EQ(play.All<CloseIdle>().at(0).endpoint, "s-2");
   play.effects.clear();
-  play.Event_(ListNews{{{{"s-2", 0, 0, 7, EndpointState::kGone}, ""}}, false});
+  play.Event_(ListUpdate{{{{"s-2", 0, 0, 7, EndpointState::kGone}, ""}}, false});
   EXPECT_EQ(play.All<CloseIdle>().at(0).endpoint, "s-2");
   EXPECT_EQ(play.state.listed.size(), 1u);
-  play.Event_(ListNews{{}, true});  // what is not in it is gone
+  play.Event_(ListUpdate{{}, true});  // what is not in it is gone
   EXPECT_TRUE(play.state.listed.empty());
   EXPECT_TRUE(play.All<TellList>().back().whole);
-  play.Event_(StopAsked{seconds(9)});
+  play.Event_(StopRequested{seconds(9)});
   EXPECT_EQ(play.All<TellStop>().at(0).at, seconds(9));
 }
 
