--- a/src/node/node.h
+++ b/src/node/node.h
@@ -127,8 +127,8 @@
   void Do(state::TellAnswerTold& e);
   void Do(state::TellOutcome& e);
   void Do(state::TellList& e);
-  void Do(state::TellListLost& e);
-  void Do(state::TellWait& e);
+  void Do(state::TellListWatchLost& e);
+  void Do(state::TellRetryAfter& e);
   void Do(state::TellStop& e);
   void Do(state::TellZoneUnsure& e);
   void Do(state::TellSettings& e);
@@ -143,8 +143,8 @@
   void Do(state::Note& e);
   void Do(state::MessageResumed& e);
   void Do(state::MessageDoubted& e);
-  void Do(state::MessageOver& e);
-  void Count(const state::MessageOver& e, Micros held);
+  void Do(state::MessageFinished& e);
+  void Count(const state::MessageFinished& e, Micros held);
   void LogCall(const net::CallResult& result);
   void LogRuleChanges(const Config& next);
   void SaveRules();
--- a/src/node/node_log.cpp
+++ b/src/node/node_log.cpp
@@ -8,12 +8,12 @@
 namespace indigosaddle::node {
 namespace {
 
-const char* NameOf(state::Over over) {
+const char* NameOf(state::MessageResult over) {
   switch (over) {
-    case state::Over::kDelivered: return "delivered";
-    case state::Over::kReturned: return "returned";
-    case state::Over::kWithdrawn: return "withdrawn";
-    case state::Over::kFailed: return "failed";
+    case state::MessageResult::kDelivered: return "delivered";
+    case state::MessageResult::kReturned: return "returned";
+    case state::MessageResult::kWithdrawn: return "withdrawn";
+    case state::MessageResult::kFailed: return "failed";
   }
   return "unknown";
 }
@@ -41,18 +41,18 @@
 
 }  // namespace
 
-void Node::Do(state::MessageOver& e) {
-  using state::Over;
-  const Micros held = e.taken_at > Micros(0) ? loop_.Now() - e.taken_at : Micros(0);
+void Node::Do(state::MessageFinished& e) {
+  using state::MessageResult;
+  const Micros held = e.accepted_at > Micros(0) ? loop_.Now() - e.accepted_at : Micros(0);
   const auto attempts = static_cast<std::uint64_t>(e.attempts);
   const std::string rules = Describe(e.rules);
   Count(e, held);
-  if (e.over == Over::kDelivered) {
-    log_.Write(base::kMessageDelivered, e.id, e.message_class, e.tenant, e.destination, NameOf(e.over),
+  if (e.result == MessageResult::kDelivered) {
+    log_.Write(base::kMessageDelivered, e.id, e.message_class, e.tenant, e.destination, NameOf(e.result),
                attempts, held, rules);
   } else {
-    log_.Write(base::kMessageEnded, e.id, e.message_class, e.tenant, e.destination, NameOf(e.over), attempts,
-               held, e.cause ? NameOf(*e.cause) : "", rules);
+    log_.Write(base::kMessageEnded, e.id, e.message_class, e.tenant, e.destination, NameOf(e.result),
+               attempts, held, e.cause ? NameOf(*e.cause) : "", rules);
   }
 }
 
@@ -74,23 +74,23 @@
 }
 
 // In the figures since the start, by class, and for the guard of a change on trial.
-void Node::Count(const state::MessageOver& e, Micros held) {
-  using state::Over;
-  delivered_ += e.over == Over::kDelivered;
-  returned_ += e.over == Over::kReturned;
-  given_up_ += e.over == Over::kFailed;
-  if (e.over == Over::kWithdrawn) return;
+void Node::Count(const state::MessageFinished& e, Micros held) {
+  using state::MessageResult;
+  delivered_ += e.result == MessageResult::kDelivered;
+  returned_ += e.result == MessageResult::kReturned;
+  given_up_ += e.result == MessageResult::kFailed;
+  if (e.result == MessageResult::kWithdrawn) return;
   ClassFigures& figures = by_class_[e.message_class];
-  ++(e.over == Over::kDelivered  ? figures.completed
-     : e.over == Over::kReturned ? figures.rejected
-                                 : figures.failed);
+  ++(e.result == MessageResult::kDelivered  ? figures.completed
+     : e.result == MessageResult::kReturned ? figures.rejected
+                                            : figures.failed);
   const int number = NumberOf(config_.classes, e.message_class);
   const Micros aim = number >= 0 ? config_.settings.classes[static_cast<std::size_t>(number)].aim : Micros(0);
-  const bool late = e.over == Over::kDelivered && aim > Micros(0) && held > aim;
-  changes_.Count(e.over == Over::kReturned ? config::Sign::kRefused
-                 : e.over == Over::kFailed ? config::Sign::kFailed
-                 : late                    ? config::Sign::kLate
-                                           : config::Sign::kInTime,
+  const bool late = e.result == MessageResult::kDelivered && aim > Micros(0) && held > aim;
+  changes_.Count(e.result == MessageResult::kReturned ? config::Sign::kRefused
+                 : e.result == MessageResult::kFailed ? config::Sign::kFailed
+                 : late                               ? config::Sign::kLate
+                                                      : config::Sign::kInTime,
                  loop_.Now());
 }
 
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -112,12 +112,12 @@
   brain_->OnList(e.entries, e.whole);
   if (watcher_) watcher_->OnList(e.entries, e.whole);
 }
-void Node::Do(state::TellListLost& e) {
+void Node::Do(state::TellListWatchLost& e) {
   brain_->OnListFailed();
   brain_->OnListOutdated(e.outdated_from);
   if (watcher_) watcher_->OnListFailed(e.outdated_from);
 }
-void Node::Do(state::TellWait& e) {
+void Node::Do(state::TellRetryAfter& e) {
   brain_->OnToldWait(e.endpoint, e.wait);
   if (watcher_) watcher_->OnToldWait(e.endpoint, e.wait);
 }
@@ -147,22 +147,22 @@
 
 void Node::Do(state::Reply& e) {
   std::string line = "-ERR failed\r\n";
-  if (e.answer == state::Answer::kTaken) line = "+OK\r\n";
+  if (e.answer == state::Answer::kAccepted) line = "+OK\r\n";
   if (e.answer == state::Answer::kBusy) {
     const auto millis = std::chrono::ceil<milliseconds>(e.not_before).count();
     line = millis > 0 ? fmt::format("-BUSY {}\r\n", millis) : "-BUSY\r\n";
   }
-  if (e.answer == state::Answer::kTaken && e.refusal == state::Refusal::kNone) Did(Action::kTake);
-  ++(e.answer == state::Answer::kTaken ? taken_ : e.answer == state::Answer::kBusy ? busy_ : failed_);
-  if (e.answer != state::Answer::kTaken && !e.message_class.empty()) {
+  if (e.answer == state::Answer::kAccepted && e.refusal == state::Refusal::kNone) Did(Action::kTake);
+  ++(e.answer == state::Answer::kAccepted ? taken_ : e.answer == state::Answer::kBusy ? busy_ : failed_);
+  if (e.answer != state::Answer::kAccepted && !e.message_class.empty()) {
     ClassFigures& figures = by_class_[e.message_class];
     ++(e.answer == state::Answer::kBusy ? figures.rejected : figures.failed);
   }
-  if (e.answer != state::Answer::kTaken && e.refusal != state::Refusal::kStopping) {
+  if (e.answer != state::Answer::kAccepted && e.refusal != state::Refusal::kStopping) {
     changes_.Count(e.answer == state::Answer::kBusy ? config::Sign::kRefused : config::Sign::kFailed,
                    loop_.Now());
   }
-  if (e.answer != state::Answer::kTaken) {
+  if (e.answer != state::Answer::kAccepted) {
     const char* answer = e.answer == state::Answer::kBusy ? "busy" : "failed";
     log_.Write(base::kRequestRefused, e.id, e.message_class, answer, state::NameOf(e.refusal),
                e.cause ? NameOf(*e.cause) : "");
--- a/src/state/effects.h
+++ b/src/state/effects.h
@@ -32,10 +32,10 @@
   std::vector<Endpoint> entries;
   bool whole = false;
 };
-struct TellListLost {
+struct TellListWatchLost {
   Micros outdated_from{0};
 };
-struct TellWait {
+struct TellRetryAfter {
   EndpointId endpoint;
   Micros wait{0};
 };
@@ -55,7 +55,7 @@
 struct RewriteJournal {  // the same, in place of all that the journal holds
   std::string bytes;
 };
-enum class Answer : std::uint8_t { kTaken, kBusy, kFailed };
+enum class Answer : std::uint8_t { kAccepted, kBusy, kFailed };
 enum class Refusal : std::uint8_t {
   kNone,
   kSameId,
@@ -99,7 +99,7 @@
 struct Note {  // for the log
   std::string text;
 };
-enum class Over : std::uint8_t { kDelivered, kReturned, kFailed, kWithdrawn };
+enum class MessageResult : std::uint8_t { kDelivered, kReturned, kFailed, kWithdrawn };
 struct MessageResumed {  // for the log
   std::string id;
   std::uint64_t destination = 0;
@@ -110,19 +110,19 @@
 struct MessageDoubted {  // for the log: it was over as delivered, and is told as failed
   std::string id;
 };
-struct MessageOver {  // what became of a message that was taken on
+struct MessageFinished {  // what became of a message that was taken on
   std::string id, message_class, tenant;
   std::uint64_t destination = 0;
-  Over over = Over::kDelivered;
+  MessageResult result = MessageResult::kDelivered;
   int attempts = 0;
   RepeatRules rules{};
-  Micros taken_at{0};                  // zero: before a restart
+  Micros accepted_at{0};               // zero: before a restart
   std::optional<GiveUpCause> cause{};  // nothing: delivered or withdrawn
 };
-using Effect = std::variant<TellMessage, TellWithdrawn, TellAnswerTold, TellOutcome, TellList, TellListLost,
-                            TellWait, TellStop, TellZoneUnsure, TellSettings, AppendJournal, RewriteJournal,
-                            Reply, StartCall, PostNotices, ArmTimer, RenewWatch, CloseIdle, Note,
-                            MessageResumed, MessageDoubted, MessageOver>;
+using Effect = std::variant<TellMessage, TellWithdrawn, TellAnswerTold, TellOutcome, TellList,
+                            TellListWatchLost, TellRetryAfter, TellStop, TellZoneUnsure, TellSettings,
+                            AppendJournal, RewriteJournal, Reply, StartCall, PostNotices, ArmTimer,
+                            RenewWatch, CloseIdle, Note, MessageResumed, MessageDoubted, MessageFinished>;
 using Effects = std::vector<Effect>;
 
 }  // namespace indigosaddle::state
--- a/src/state/ledger.h
+++ b/src/state/ledger.h
@@ -84,7 +84,7 @@
 
   void Answer_(const ClientRef& client, Answer answer, Micros not_before, const AcceptedMessage& taken,
                Refusal refusal, std::optional<GiveUpCause> cause = std::nullopt) {
-    if (answer != Answer::kTaken) state_.refusals.Add(taken.id, answer, state_.heard_at);
+    if (answer != Answer::kAccepted) state_.refusals.Add(taken.id, answer, state_.heard_at);
     effects_.emplace_back(Reply{client, answer, not_before, taken.id, taken.message_class, refusal, cause});
   }
   // The message's client, and whoever has sent the same command since.
@@ -104,14 +104,15 @@
                 Refusal::kPolicy, cause);
       return Forget(serial);
     }
-    SayOver(*owed, end == MessageEnd::kReturned ? Over::kReturned : Over::kFailed, cause);
+    EmitFinished(*owed, end == MessageEnd::kReturned ? MessageResult::kReturned : MessageResult::kFailed,
+                 cause);
     Record_(MessageEnded{serial, end, not_before});
   }
 
-  void SayOver(const Owed& owed, Over over, std::optional<GiveUpCause> cause = std::nullopt) {
+  void EmitFinished(const Owed& owed, MessageResult result, std::optional<GiveUpCause> cause = std::nullopt) {
     const AcceptedMessage& t = owed.taken;
-    effects_.emplace_back(MessageOver{t.id, t.message_class, t.tenant, t.destination, over,
-                                      owed.past.attempts, t.rules, owed.taken_at, cause});
+    effects_.emplace_back(MessageFinished{t.id, t.message_class, t.tenant, t.destination, result,
+                                          owed.past.attempts, t.rules, owed.taken_at, cause});
   }
 
   void Forget(Serial serial) {
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -86,7 +86,7 @@
   }
 
   void operator()(const ListUpdate& e) { TakeList(state_.listed, e, effects_); }
-  void operator()(const ListWatchLost& e) { effects_.emplace_back(TellListLost{e.outdated_from}); }
+  void operator()(const ListWatchLost& e) { effects_.emplace_back(TellListWatchLost{e.outdated_from}); }
 
   void operator()(const CallEnded& e) {
     Owed* owed = keep_.Find(e.serial);
@@ -108,14 +108,16 @@
     effects_.emplace_back(TellOutcome{outcome});
     Record_(AttemptFinished{e.serial, meaning.result});
     if (meaning.message_done) {
-      if (!owed->ended) SayOver(*owed, meaning.result == Result::kOk ? Over::kDelivered : Over::kWithdrawn);
+      if (!owed->ended)
+        EmitFinished(*owed,
+                     meaning.result == Result::kOk ? MessageResult::kDelivered : MessageResult::kWithdrawn);
       Record_(
           MessageEnded{e.serial, outcome.untold ? MessageEnd::kFailed : MessageEnd::kNoNotice, Micros(0)});
     }
     keep_.Drop(e.serial);
   }
 
-  void operator()(const RetryAfterReceived& e) { effects_.emplace_back(TellWait{e.endpoint, e.wait}); }
+  void operator()(const RetryAfterReceived& e) { effects_.emplace_back(TellRetryAfter{e.endpoint, e.wait}); }
 
   // The end is told after all: that does no harm where the answer was the message's own.
   void operator()(const AnswersDoubted& e) {
@@ -188,8 +190,8 @@
       Owed& owed = state_.owed.at(serial);
       AppendRecord(bytes, owed.taken);
       const auto reply = [&](const ClientRef& client, Refusal refusal) {
-        replies.emplace_back(Reply{client, Answer::kTaken, Micros(0), owed.taken.id, owed.taken.message_class,
-                                   refusal, std::nullopt});
+        replies.emplace_back(Reply{client, Answer::kAccepted, Micros(0), owed.taken.id,
+                                   owed.taken.message_class, refusal, std::nullopt});
       };
       reply(*owed.unanswered, Refusal::kNone);
       for (const ClientRef& copy : owed.copies) reply(copy, Refusal::kSameId);
--- a/src/state/repeated_commands.h
+++ b/src/state/repeated_commands.h
@@ -38,7 +38,7 @@
       return true;
     }
     if (known != state_.by_id.end() || state_.recent.Has(id)) {
-      Answer_(e.client, Answer::kTaken, Micros(0), e.message, Refusal::kSameId);
+      Answer_(e.client, Answer::kAccepted, Micros(0), e.message, Refusal::kSameId);
       return true;
     }
     const Answer* refused = state_.refusals.Find(id);
--- a/tests/state_recent_test.cpp
+++ b/tests/state_recent_test.cpp
@@ -36,7 +36,7 @@
 TEST_F(Recent, ACommandOfADeliveredMessageIsAnsweredAndNotTaken) {
   Deliver("a");
   EXPECT_EQ(play.state.open(), 0u);
-  EXPECT_EQ(AnswerTo("a"), Answer::kTaken);
+  EXPECT_EQ(AnswerTo("a"), Answer::kAccepted);
   EXPECT_EQ(play.state.open(), 0u);
 }
 
@@ -93,7 +93,7 @@
   play.Event_(NoticesAccepted{{serial}});
   play.Turn();
   EXPECT_TRUE(play.state.owed.empty());
-  EXPECT_EQ(AnswerTo("a"), Answer::kTaken);
+  EXPECT_EQ(AnswerTo("a"), Answer::kAccepted);
 }
 
 // Guards against a client that is refused while the same command, read beside it, is taken on.
@@ -103,8 +103,8 @@
   play.Turn();
   const auto replies = play.All<Reply>();
   ASSERT_EQ(replies.size(), 2u);
-  EXPECT_EQ(replies[0].answer, Answer::kTaken);
-  EXPECT_EQ(replies[1].answer, Answer::kTaken);
+  EXPECT_EQ(replies[0].answer, Answer::kAccepted);
+  EXPECT_EQ(replies[1].answer, Answer::kAccepted);
   EXPECT_EQ(play.state.open(), 1u);
 }
 
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -23,7 +23,7 @@
   play.Turn();
   EXPECT_EQ(ParseJournal(play.journal).records.size(), 1u);
   ASSERT_EQ(play.All<Reply>().size(), 1u);
-  EXPECT_EQ(play.All<Reply>()[0].answer, Answer::kTaken);
+  EXPECT_EQ(play.All<Reply>()[0].answer, Answer::kAccepted);
 }
 
 TEST(Reducer, ARefusalOrFailureInTheSameTurnAnswersTheClientAndLeavesNoTrace) {
@@ -65,7 +65,7 @@
   play.Take("a", 2);
   play.Turn();
   ASSERT_EQ(play.All<Reply>().size(), 1u);
-  EXPECT_EQ(play.All<Reply>()[0].answer, Answer::kTaken);
+  EXPECT_EQ(play.All<Reply>()[0].answer, Answer::kAccepted);
   EXPECT_TRUE(play.All<TellMessage>().empty());
   EXPECT_EQ(play.state.open(), 1u);
 }
@@ -82,7 +82,7 @@
   play.Turn();
   const auto replies = play.All<Reply>();
   ASSERT_EQ(replies.size(), 2u);
-  EXPECT_EQ(replies[0].answer, Answer::kTaken);
+  EXPECT_EQ(replies[0].answer, Answer::kAccepted);
   EXPECT_EQ(replies[1].answer, Answer::kBusy);
   EXPECT_EQ(replies[1].refusal, Refusal::kStopping);
   EXPECT_TRUE(play.All<TellMessage>().empty());
@@ -102,7 +102,7 @@
   for (int i = 0; i < 50; ++i) {
     small.Take("m" + std::to_string(i), 1, std::string(1000, 'x'));
     small.Turn();
-    taken += small.Fresh<Reply>().at(0).answer == Answer::kTaken ? 1 : 0;
+    taken += small.Fresh<Reply>().at(0).answer == Answer::kAccepted ? 1 : 0;
   }
   EXPECT_GT(taken, 3);
   EXPECT_LT(taken, 10);
@@ -116,7 +116,7 @@
   small.effects.clear();
   small.Take("later", 1, std::string(1000, 'x'));
   small.Turn();
-  EXPECT_EQ(small.Fresh<Reply>().at(0).answer, Answer::kTaken);
+  EXPECT_EQ(small.Fresh<Reply>().at(0).answer, Answer::kAccepted);
 }
 
 TEST(Reducer, TheFolderStaysUnderItsLimitWhileServing) {
@@ -170,7 +170,7 @@
   play.Take("later");
   play.Turn();
   EXPECT_EQ(play.rewrites, 1);
-  EXPECT_EQ(play.Fresh<Reply>().at(0).answer, Answer::kTaken);
+  EXPECT_EQ(play.Fresh<Reply>().at(0).answer, Answer::kAccepted);
   EXPECT_EQ(play.Restart().state.by_id.size(), 2u);
 }
 
@@ -188,7 +188,7 @@
   play.Turn();
   EXPECT_EQ(play.All<StartCall>().at(0).dial, "127.0.0.1:2");
   play.Event_(ListWatchLost{});
-  EXPECT_EQ(play.All<TellListLost>().size(), 1u);
+  EXPECT_EQ(play.All<TellListWatchLost>().size(), 1u);
   play.Event_(CloseIdleRequested{"s-2"});
   EXPECT_EQ(play.All<CloseIdle>().at(0).endpoint, "s-2");
   play.effects.clear();
