--- a/src/node/node.h
+++ b/src/node/node.h
@@ -71,7 +71,7 @@
   void OnNoticesTaken(const std::vector<std::uint64_t>& serials) override;
   void OnNoticeUnreadable(std::string_view line) override;
   net::CallPool::StartPermit MayBegin(std::uint64_t serial);
-  static Action CallAction(const state::Owed& owed);  // a first call, or one more
+  static Action CallAction(const state::PendingMessage& owed);  // a first call, or one more
   void OnCallEnded(const net::CallResult& result);
   // What the pool sees on its connections (node_connections.cpp).
   void OnUnasked(const net::UnaskedBytes& unasked) override;
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -80,15 +80,15 @@
 
 void Node::OnNoticeUnreadable(std::string_view line) { log_.Write(base::kNoticeUnreadable, line); }
 
-Action Node::CallAction(const state::Owed& owed) {
+Action Node::CallAction(const state::PendingMessage& owed) {
   return owed.past.attempts > 1 ? Action::kRepeat : Action::kBegin;
 }
 
 // Before a call's first byte: what binds it still, and its record on the disk.
 net::CallPool::StartPermit Node::MayBegin(std::uint64_t serial) {
   if (!brain_->MayStillStart(serial, loop_.Now())) return std::nullopt;
-  const auto owed = state_.owed.find(serial);
-  if (owed == state_.owed.end() || !owed->second.out) return std::nullopt;
+  const auto owed = state_.pending.find(serial);
+  if (owed == state_.pending.end() || !owed->second.in_flight) return std::nullopt;
   const Action action = CallAction(owed->second);
   if (!May(action)) return std::nullopt;
   if (owed->second.connecting) {                  // else on record since its turn
--- a/src/node/node_figures.cpp
+++ b/src/node/node_figures.cpp
@@ -39,7 +39,7 @@
         name, figures.completed, figures.rejected, figures.failed);
   }
   std::size_t unavailable = 0;
-  for (const auto& [id, listed] : state_.listed) {
+  for (const auto& [id, listed] : state_.endpoints) {
     if (listed.endpoint.state != EndpointState::kReady) ++unavailable;
   }
   out += fmt::format(
@@ -47,7 +47,7 @@
       "app.config_reloads:{}|c\napp.config_reload_errors:{}|c\n"
       "app.recovering:{}|g\napp.slow_start_calls:{}|c\napp.list_watch_losses:{}|c\n"
       "app.lifecycle_denied:{}|c\napp.lifecycle_breaks:{}|c\n",
-      pool_.written(), state_.open(), state_.listed.size(), unavailable, changes_.reloads(),
+      pool_.written(), state_.open(), state_.endpoints.size(), unavailable, changes_.reloads(),
       changes_.reload_errors(), brain_->slow_start().recovering, brain_->slow_start().calls, WatchLosses(),
       std::accumulate(lifecycle_.denied().begin(), lifecycle_.denied().end(), std::uint64_t{0}),
       lifecycle_.breaks());
--- a/src/node/node_log.cpp
+++ b/src/node/node_log.cpp
@@ -100,17 +100,17 @@
 }
 
 void Node::LogCall(const net::CallResult& result) {
-  const auto found = state_.owed.find(result.serial);
-  if (found == state_.owed.end()) return;
-  const state::Owed& owed = found->second;
+  const auto found = state_.pending.find(result.serial);
+  if (found == state_.pending.end()) return;
+  const state::PendingMessage& owed = found->second;
   const auto attempt = static_cast<std::uint64_t>(owed.past.attempts);
-  const std::string rules = Describe(owed.taken.rules);
+  const std::string rules = Describe(owed.message.rules);
   if (result.ending == state::AttemptResult::kDelivered) {
-    log_.Write(base::kCallDelivered, owed.taken.id, owed.taken.destination, owed.endpoint, attempt,
+    log_.Write(base::kCallDelivered, owed.message.id, owed.message.destination, owed.endpoint, attempt,
                state::NameOf(result.ending), result.latency, result.wait, rules, result.connection.number,
                result.connection.calls, result.connection.age);
   } else {
-    log_.Write(base::kCallEnded, owed.taken.id, owed.taken.destination, owed.endpoint, attempt,
+    log_.Write(base::kCallEnded, owed.message.id, owed.message.destination, owed.endpoint, attempt,
                state::NameOf(result.ending), result.latency, result.wait, rules, result.connection.number,
                result.connection.calls, result.connection.age);
   }
--- a/src/node/node_operations.cpp
+++ b/src/node/node_operations.cpp
@@ -27,9 +27,9 @@
 
 std::size_t Node::HeldOf(const std::string& message_class, const std::string& tenant) const {
   std::size_t held = 0;
-  for (const auto& [serial, owed] : state_.owed) {
+  for (const auto& [serial, owed] : state_.pending) {
     const bool counts =
-        message_class.empty() ? owed.taken.tenant == tenant : owed.taken.message_class == message_class;
+        message_class.empty() ? owed.message.tenant == tenant : owed.message.message_class == message_class;
     if (counts && !owed.ended) ++held;
   }
   return held;
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -171,8 +171,8 @@
 }
 
 void Node::Do(state::StartCall& e) {
-  const auto owed = state_.owed.find(e.serial);
-  if (owed == state_.owed.end() || !May(CallAction(owed->second))) {
+  const auto owed = state_.pending.find(e.serial);
+  if (owed == state_.pending.end() || !May(CallAction(owed->second))) {
     const Micros none(0);
     return Push(state::CallEnded{e.serial, state::AttemptResult::kNotStarted, none, none, {}, loop_.Now()});
   }
@@ -195,15 +195,15 @@
 // The module's decisions, as events of the turn.
 void Node::Send(MessageId id, const EndpointId& endpoint, Micros timeout) {
   if (watcher_) watcher_->Sent(id, endpoint);
-  const auto listed = state_.listed.find(endpoint);
-  const bool connected = listed != state_.listed.end() &&
+  const auto listed = state_.endpoints.find(endpoint);
+  const bool connected = listed != state_.endpoints.end() &&
                          on_idle_[endpoint] < pool_.idle(endpoint, listed->second.dial, FirstCallOnly(id));
   on_idle_[endpoint] += connected ? 1 : 0;
   decisions_.emplace_back(state::SendRequested{id, endpoint, timeout, now_, connected});
 }
 bool Node::FirstCallOnly(state::Serial serial) const {
-  const auto owed = state_.owed.find(serial);
-  return owed == state_.owed.end() || WantsFirstCall(owed->second.taken.rules);
+  const auto owed = state_.pending.find(serial);
+  return owed == state_.pending.end() || WantsFirstCall(owed->second.message.rules);
 }
 bool Node::Refuse(MessageId id, Micros not_before, GiveUpCause cause) {
   if (watcher_) watcher_->Refused(id);
@@ -217,8 +217,8 @@
 }
 // Else the end is a notice, and told once the platform has it.
 bool Node::AnswersItsClient(state::Serial serial) const {
-  const auto owed = state_.owed.find(serial);
-  return owed != state_.owed.end() && owed->second.unanswered.has_value();
+  const auto owed = state_.pending.find(serial);
+  return owed != state_.pending.end() && owed->second.waiting_client.has_value();
 }
 void Node::SetTimer(Micros at) { decisions_.emplace_back(state::TimerRequested{at}); }
 void Node::Watch() { decisions_.emplace_back(state::WatchRequested{}); }
--- a/src/state/attempt_result.h
+++ b/src/state/attempt_result.h
@@ -15,8 +15,8 @@
   kTooManyRequests,    // 429
   kUnavailable,        // 503
   kNoSlot,             // 503 with the no-slot mark
-  kNoAttemptsLeft,     // 504: the end is still owed
-  kGone,               // 410: nothing more is owed
+  kNoAttemptsLeft,     // 504: the end is still pending
+  kGone,               // 410: nothing more is pending
   kOtherStatus,        // a status that the protocol does not name
   kMalformedResponse,  // no HTTP, or beyond the limits on headers and bodies
   kConnectionRefused,  // the connection was refused
@@ -32,7 +32,7 @@
 
 struct AttemptMeaning {
   Result result;
-  bool message_done;  // nothing more is owed for the message
+  bool message_done;  // nothing more is pending for the message
 };
 
 AttemptMeaning MeaningOf(AttemptResult attempt_result);
--- a/src/state/recent_ends.h
+++ b/src/state/completed_messages.h
@@ -17,10 +17,10 @@
 
 // Messages that were taken on and are over. They outlive the process: a rewritten journal has them, without
 // their bodies.
-class RecentEnds {
+class CompletedMessages {
  public:
   struct Entry {
-    AcceptedMessage taken;  // without its body
+    AcceptedMessage message;  // without its body
     MessageEnd end = MessageEnd::kNoNotice;
     std::size_t bytes = 0;  // of its records in a journal
   };
@@ -46,7 +46,7 @@
   void Remove(Serial serial) {
     const auto it = entries_.find(serial);
     if (it == entries_.end()) return;
-    const AcceptedMessage& taken = it->second.taken;
+    const AcceptedMessage& taken = it->second.message;
     const auto id = by_id_.find(taken.id);
     if (id != by_id_.end() && id->second == serial) by_id_.erase(id);
     by_time_.erase({taken.give_up_at, serial});
--- a/src/state/events.h
+++ b/src/state/events.h
@@ -16,7 +16,7 @@
 
 namespace indigosaddle::state {
 
-// One command of one client's connection, whose reply is still owed.
+// One command of one client's connection, whose reply is still pending.
 struct ClientRef {
   std::uint64_t connection = 0, command = 0;
   friend bool operator==(const ClientRef&, const ClientRef&) = default;
@@ -39,7 +39,7 @@
   Micros at{0};             // when it was read
   AcceptedMessage message;  // its serial is given by the reducer
   int message_class = 0, tenant = 0;
-  bool may_accept = true;  // else only what is owed already is answered as taken on
+  bool may_accept = true;  // else only what is pending already is answered as taken on
 };
 struct ClientGone {
   std::uint64_t connection = 0;
@@ -66,7 +66,7 @@
 struct AnswersDoubted {  // answers that ended these messages may have been others' on their connections
   std::vector<Serial> serials;
 };
-struct NoticesAccepted {  // answered by the platform: nothing more is owed for these
+struct NoticesAccepted {  // answered by the platform: nothing more is pending for these
   std::vector<Serial> serials;
 };
 struct StopRequested {
--- a/src/state/journal.h
+++ b/src/state/journal.h
@@ -35,7 +35,7 @@
   Result result = Result::kReset;
 };
 enum class MessageEnd : std::uint8_t { kNoNotice, kFailed, kReturned };
-struct MessageEnded {  // the message is over; a notice is owed unless the end is kNoNotice
+struct MessageEnded {  // the message is over; a notice is pending unless the end is kNoNotice
   Serial serial = 0;
   MessageEnd end = MessageEnd::kNoNotice;
   Micros not_before{0};  // with kReturned
--- a/src/state/keeper.h
+++ b/src/state/keeper.h
@@ -18,130 +18,133 @@
   explicit Keeper(State& state) : state_(state) {}
 
   void operator()(const AcceptedMessage& r) {
-    Owed& owed = state_.owed[r.serial];
-    owed.taken = r;
+    PendingMessage& pending = state_.pending[r.serial];
+    pending.message = r;
     state_.by_id[r.id] = r.serial;
     state_.last_serial = std::max(state_.last_serial, r.serial);
-    SetRoom(owed, RecordSize(r) + kLaterRecords);
+    SetRoom(pending, RecordSize(r) + kLaterRecords);
   }
   void operator()(const AttemptConnecting& r) { Attempt(r, true); }
   void operator()(const AttemptStarted& r) { Attempt(r, false); }
   void operator()(const AttemptFinished& r) {
-    Owed* owed = Find(r.serial);
-    if (owed == nullptr || !owed->out) return;
-    owed->out = owed->connecting = false;
-    if (!MayHaveRun(r.result) || owed->past.may_have_run) return;
-    owed->past.may_have_run = true;
-    owed->past.first_run = owed->sent;
-    owed->run_zone = owed->out_zone;
+    PendingMessage* pending = Find(r.serial);
+    if (pending == nullptr || !pending->in_flight) return;
+    pending->in_flight = pending->connecting = false;
+    if (!MayHaveRun(r.result) || pending->past.may_have_run) return;
+    pending->past.may_have_run = true;
+    pending->past.first_run = pending->attempt_at;
+    pending->run_zone = pending->attempt_zone;
   }
   void operator()(const MessageEnded& r) {
-    Owed* owed = FindForEnd(r);
-    if (owed == nullptr) return;
-    owed->ended = r;
-    const auto by_id = state_.by_id.find(owed->taken.id);
+    PendingMessage* pending = FindForEnd(r);
+    if (pending == nullptr) return;
+    pending->ended = r;
+    const auto by_id = state_.by_id.find(pending->message.id);
     if (by_id != state_.by_id.end() && by_id->second == r.serial) state_.by_id.erase(by_id);
-    owed->taken.body = {};  // nothing is sent any more
-    state_.recent.Add(owed->taken, r.end);
-    SetRoom(*owed, r.end == MessageEnd::kNoNotice ? 0 : RecordSize(owed->taken) + kLaterRecords);
+    pending->message.body = {};  // nothing is sent any more
+    state_.completed.Add(pending->message, r.end);
+    SetRoom(*pending, r.end == MessageEnd::kNoNotice ? 0 : RecordSize(pending->message) + kLaterRecords);
     if (r.end != MessageEnd::kNoNotice) {
-      state_.notices[r.serial] = {r.serial, owed->taken.id, r.end, r.not_before};
+      state_.notices[r.serial] = {r.serial, pending->message.id, r.end, r.not_before};
     }
   }
   void operator()(const NoticeAccepted& r) {
     state_.notices.erase(r.serial);
-    if (Owed* owed = Find(r.serial)) SetRoom(*owed, 0);
+    if (PendingMessage* pending = Find(r.serial)) SetRoom(*pending, 0);
   }
   void operator()(const AttemptHistory& r) {
-    if (Owed* owed = Find(r.serial)) owed->past = r.past, owed->run_zone = r.run_zone;
+    if (PendingMessage* pending = Find(r.serial)) pending->past = r.past, pending->run_zone = r.run_zone;
   }
 
   // A record of it was lost: a call that it told of may have run, long ago and in any zone.
-  void Doubt(Owed& owed) {
-    if (owed.past.may_have_run) return;
-    owed.past.may_have_run = true;
-    owed.past.first_run = Micros(0);
-    owed.run_zone.clear();
+  void Doubt(PendingMessage& pending) {
+    if (pending.past.may_have_run) return;
+    pending.past.may_have_run = true;
+    pending.past.first_run = Micros(0);
+    pending.run_zone.clear();
   }
 
-  Owed* Find(Serial serial) {
-    auto it = state_.owed.find(serial);
-    return it == state_.owed.end() ? nullptr : &it->second;
+  PendingMessage* Find(Serial serial) {
+    auto it = state_.pending.find(serial);
+    return it == state_.pending.end() ? nullptr : &it->second;
   }
 
-  // The message that this ends: one that is owed, or one that was over with nothing owed and failed after
-  // all.
-  Owed* FindForEnd(const MessageEnded& r) {
-    Owed* owed = Find(r.serial);
-    if (owed != nullptr && !owed->ended) return owed;
-    const RecentEnds::Entry* entry = state_.recent.Find(r.serial);
+  // The message that this ends: one that is pending, or one that was over with nothing pending and failed
+  // after all.
+  PendingMessage* FindForEnd(const MessageEnded& r) {
+    PendingMessage* pending = Find(r.serial);
+    if (pending != nullptr && !pending->ended) return pending;
+    const CompletedMessages::Entry* entry = state_.completed.Find(r.serial);
     if (entry == nullptr || entry->end != MessageEnd::kNoNotice || r.end != MessageEnd::kFailed)
       return nullptr;
-    if (owed == nullptr) owed = &state_.owed[r.serial];
-    owed->taken = entry->taken;
-    return owed;
+    if (pending == nullptr) pending = &state_.pending[r.serial];
+    pending->message = entry->message;
+    return pending;
   }
 
   // Drops what is over, has no call out and owes no notice.
   void Drop(Serial serial) {
-    auto it = state_.owed.find(serial);
-    if (it == state_.owed.end() || !it->second.ended || it->second.out) return;
+    auto it = state_.pending.find(serial);
+    if (it == state_.pending.end() || !it->second.ended || it->second.in_flight) return;
     if (state_.notices.contains(serial)) return;
     SetRoom(it->second, 0);
-    state_.owed.erase(it);
+    state_.pending.erase(it);
   }
 
   // Takes back a message that was never taken on for good.
   void Forget(Serial serial) {
-    auto it = state_.owed.find(serial);
-    if (it == state_.owed.end()) return;
+    auto it = state_.pending.find(serial);
+    if (it == state_.pending.end()) return;
     SetRoom(it->second, 0);
-    state_.by_id.erase(it->second.taken.id);
+    state_.by_id.erase(it->second.message.id);
     state_.notices.erase(serial);
-    state_.owed.erase(it);
+    state_.pending.erase(it);
   }
 
  private:
   template <typename T>
   void Attempt(const T& r, bool connecting) {
-    Owed* owed = Find(r.serial);
-    if (owed == nullptr) return;
-    if (!owed->connecting) ++owed->past.attempts;
-    owed->out = true;
-    owed->connecting = connecting;
-    owed->sent = r.at;
-    owed->endpoint = r.endpoint;
-    owed->out_zone = r.zone;
+    PendingMessage* pending = Find(r.serial);
+    if (pending == nullptr) return;
+    if (!pending->connecting) ++pending->past.attempts;
+    pending->in_flight = true;
+    pending->connecting = connecting;
+    pending->attempt_at = r.at;
+    pending->endpoint = r.endpoint;
+    pending->attempt_zone = r.zone;
   }
 
-  void SetRoom(Owed& owed, std::size_t room) {
-    state_.room = state_.room - owed.room + room;
-    owed.room = room;
+  void SetRoom(PendingMessage& pending, std::size_t room) {
+    state_.reserved_bytes = state_.reserved_bytes - pending.reserved_bytes + room;
+    pending.reserved_bytes = room;
   }
 
   State& state_;
 };
 
-// All that is owed, as a journal of its own.
+// All that is pending, as a journal of its own.
 inline std::string Snapshot(const State& state) {
   std::string journal = JournalHeader();
-  for (const auto& [serial, owed] : state.owed) {
-    if (owed.ended && !state.notices.contains(serial)) continue;
-    AppendRecord(journal, owed.taken);
-    Past past = owed.past;
-    if (owed.out && !owed.ended) --past.attempts;  // counted by the record of the attempt that is out
+  for (const auto& [serial, pending] : state.pending) {
+    if (pending.ended && !state.notices.contains(serial)) continue;
+    AppendRecord(journal, pending.message);
+    Past past = pending.past;
+    if (pending.in_flight && !pending.ended)
+      --past.attempts;  // counted by the record of the attempt that is out
     if (past.attempts > 0 || past.may_have_run)
-      AppendRecord(journal, AttemptHistory{serial, past, owed.run_zone});
-    if (owed.out && !owed.ended && owed.connecting) {
-      AppendRecord(journal, AttemptConnecting{serial, owed.endpoint, owed.out_zone, owed.sent});
-    } else if (owed.out && !owed.ended) {
-      AppendRecord(journal, AttemptStarted{serial, owed.endpoint, owed.out_zone, owed.sent});
+      AppendRecord(journal, AttemptHistory{serial, past, pending.run_zone});
+    if (pending.in_flight && !pending.ended && pending.connecting) {
+      AppendRecord(journal,
+                   AttemptConnecting{serial, pending.endpoint, pending.attempt_zone, pending.attempt_at});
+    } else if (pending.in_flight && !pending.ended) {
+      AppendRecord(journal,
+                   AttemptStarted{serial, pending.endpoint, pending.attempt_zone, pending.attempt_at});
     }
-    if (owed.ended) AppendRecord(journal, *owed.ended);
+    if (pending.ended) AppendRecord(journal, *pending.ended);
   }
-  for (const auto& [serial, entry] : state.recent.entries()) {
+  for (const auto& [serial, entry] : state.completed.entries()) {
     if (state.notices.contains(serial)) continue;
-    AppendRecord(journal, entry.taken);
+    AppendRecord(journal, entry.message);
     AppendRecord(journal, MessageEnded{serial, MessageEnd::kNoNotice, Micros(0)});
   }
   return journal;
--- a/src/state/ledger.h
+++ b/src/state/ledger.h
@@ -13,8 +13,8 @@
 
 constexpr std::size_t kBlock = 512;  // the folder's files are counted in whole ones
 constexpr std::size_t kNoticesAtOnce = 500;
-constexpr std::size_t kOwedOfJournal = 45;    // percent of the folder that owed messages may fill: a rewrite
-                                              // needs room beside the old file, and appends between rewrites
+constexpr std::size_t kOwedOfJournal = 45;  // percent of the folder that pending messages may fill: a rewrite
+                                            // needs room beside the old file, and appends between rewrites
 constexpr std::size_t kRecentOfJournal = 10;  // percent, of the same share, for messages that are over
 
 class Ledger {
@@ -27,7 +27,8 @@
     bytes += std::exchange(state_.staged, {});
     LimitRecent();
     // Of a rewrite, rounded up.
-    const std::size_t reserve = state_.room + state_.recent.bytes() + JournalHeader().size() + 2 * kBlock;
+    const std::size_t reserve =
+        state_.reserved_bytes + state_.completed.bytes() + JournalHeader().size() + 2 * kBlock;
     if (!bytes.empty() || state_.rewrite_due) {
       if (state_.rewrite_due || state_.journal_size + bytes.size() + reserve > state_.limits.journal_bytes) {
         bytes = Snapshot(state_);
@@ -44,23 +45,23 @@
 
   void LimitRecent() {
     const std::size_t all = state_.limits.journal_bytes * kOwedOfJournal / 100;
-    const std::size_t left = all - std::min(all, state_.room);
-    state_.recent.LimitTo(std::min(left, state_.limits.journal_bytes * kRecentOfJournal / 100));
+    const std::size_t left = all - std::min(all, state_.reserved_bytes);
+    state_.completed.LimitTo(std::min(left, state_.limits.journal_bytes * kRecentOfJournal / 100));
   }
 
-  Message ForModule(const Owed& owed) const {
+  Message ForModule(const PendingMessage& pending) const {
     Message message;
-    message.id = owed.taken.serial;
-    message.message_class = Number(state_.limits.classes, owed.taken.message_class);
-    message.tenant = Number(state_.limits.tenants, owed.taken.tenant);
-    message.key = owed.taken.order_key;
-    message.give_up_at = owed.taken.give_up_at;
-    message.destination = owed.taken.destination;
-    message.place = owed.taken.serial;
-    message.past = owed.past;
-    message.past.run_zone = Number(state_.limits.zones, owed.run_zone, kUnknownZone);
-    message.rules = owed.taken.rules;
-    message.ended = owed.ended.has_value();
+    message.id = pending.message.serial;
+    message.message_class = Number(state_.limits.classes, pending.message.message_class);
+    message.tenant = Number(state_.limits.tenants, pending.message.tenant);
+    message.key = pending.message.order_key;
+    message.give_up_at = pending.message.give_up_at;
+    message.destination = pending.message.destination;
+    message.place = pending.message.serial;
+    message.past = pending.past;
+    message.past.run_zone = Number(state_.limits.zones, pending.run_zone, kUnknownZone);
+    message.rules = pending.message.rules;
+    message.ended = pending.ended.has_value();
     return message;
   }
 
@@ -84,51 +85,52 @@
 
   void Answer_(const ClientRef& client, Answer answer, Micros not_before, const AcceptedMessage& taken,
                Refusal refusal, std::optional<GiveUpCause> cause = std::nullopt) {
-    if (answer != Answer::kAccepted) state_.refusals.Add(taken.id, answer, state_.heard_at);
+    if (answer != Answer::kAccepted) state_.refusals.Add(taken.id, answer, state_.last_command_at);
     effects_.emplace_back(Reply{client, answer, not_before, taken.id, taken.message_class, refusal, cause});
   }
   // The message's client, and whoever has sent the same command since.
-  void AnswerAll(const Owed& owed, Answer answer, Micros not_before, Refusal refusal,
+  void AnswerAll(const PendingMessage& pending, Answer answer, Micros not_before, Refusal refusal,
                  std::optional<GiveUpCause> cause = std::nullopt) {
-    Answer_(*owed.unanswered, answer, not_before, owed.taken, refusal, cause);
-    for (const ClientRef& copy : owed.copies)
-      Answer_(copy, answer, not_before, owed.taken, Refusal::kSameId, cause);
+    Answer_(*pending.waiting_client, answer, not_before, pending.message, refusal, cause);
+    for (const ClientRef& copy : pending.duplicates)
+      Answer_(copy, answer, not_before, pending.message, Refusal::kSameId, cause);
   }
 
   // A final answer: to the client while it waits, by a notice after that.
   void Finish(Serial serial, MessageEnd end, Micros not_before, GiveUpCause cause) {
-    Owed* owed = keep_.Find(serial);
-    if (owed == nullptr || owed->ended) return;
-    if (owed->unanswered) {
-      AnswerAll(*owed, end == MessageEnd::kReturned ? Answer::kBusy : Answer::kFailed, not_before,
+    PendingMessage* pending = keep_.Find(serial);
+    if (pending == nullptr || pending->ended) return;
+    if (pending->waiting_client) {
+      AnswerAll(*pending, end == MessageEnd::kReturned ? Answer::kBusy : Answer::kFailed, not_before,
                 Refusal::kPolicy, cause);
       return Forget(serial);
     }
-    EmitFinished(*owed, end == MessageEnd::kReturned ? MessageResult::kReturned : MessageResult::kFailed,
+    EmitFinished(*pending, end == MessageEnd::kReturned ? MessageResult::kReturned : MessageResult::kFailed,
                  cause);
     Record_(MessageEnded{serial, end, not_before});
   }
 
-  void EmitFinished(const Owed& owed, MessageResult result, std::optional<GiveUpCause> cause = std::nullopt) {
-    const AcceptedMessage& t = owed.taken;
+  void EmitFinished(const PendingMessage& pending, MessageResult result,
+                    std::optional<GiveUpCause> cause = std::nullopt) {
+    const AcceptedMessage& t = pending.message;
     effects_.emplace_back(MessageFinished{t.id, t.message_class, t.tenant, t.destination, result,
-                                          owed.past.attempts, t.rules, owed.taken_at, cause});
+                                          pending.past.attempts, t.rules, pending.accepted_at, cause});
   }
 
   void Forget(Serial serial) {
-    std::erase(state_.fresh, serial);
+    std::erase(state_.accepted_in_turn, serial);
     keep_.Forget(serial);
   }
 
   // The journal holds this turn: its replies, calls and notices may go out.
   void Release() {
-    for (Serial serial : std::exchange(state_.fresh, {})) {
-      state_.owed.at(serial).unanswered.reset();
-      state_.owed.at(serial).copies.clear();
+    for (Serial serial : std::exchange(state_.accepted_in_turn, {})) {
+      state_.pending.at(serial).waiting_client.reset();
+      state_.pending.at(serial).duplicates.clear();
     }
     for (Effect& effect : std::exchange(state_.after_write, {})) effects_.push_back(std::move(effect));
-    if (state_.notices_out || state_.notices.empty()) return;
-    state_.notices_out = true;
+    if (state_.notices_in_flight || state_.notices.empty()) return;
+    state_.notices_in_flight = true;
     PostNotices post;
     for (const auto& [serial, notice] : state_.notices) {
       if (post.notices.size() == kNoticesAtOnce) break;
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -23,93 +23,94 @@
   // records bring is resumed, for messages that this process took are its own.
   void operator()(const Recovered& e) {
     state_.last_serial = std::max(state_.last_serial, e.min_last_serial);
-    state_.heard_at = std::max(state_.heard_at, e.now);
+    state_.last_command_at = std::max(state_.last_command_at, e.now);
     std::set<Serial> before;
-    for (const auto& [serial, owed] : state_.owed) before.insert(serial);
+    for (const auto& [serial, pending] : state_.pending) before.insert(serial);
     for (const Record& record : e.records) std::visit(keep_, record);
     WithdrawTwins(before);
     std::vector<Serial> serials;
-    for (const auto& [serial, owed] : state_.owed) {
+    for (const auto& [serial, pending] : state_.pending) {
       if (!before.contains(serial)) serials.push_back(serial);
     }
     int resumed = 0;
     for (Serial serial : serials) {
-      Owed& owed = state_.owed.at(serial);
+      PendingMessage& pending = state_.pending.at(serial);
       // Cut off: it may have run, unless its connection was never up.
-      if (owed.out) keep_(AttemptFinished{serial, owed.connecting ? Result::kNoConnection : Result::kReset});
-      if (e.in_doubt.contains(serial)) keep_.Doubt(owed);
-      if (!owed.ended) {
+      if (pending.in_flight)
+        keep_(AttemptFinished{serial, pending.connecting ? Result::kNoConnection : Result::kReset});
+      if (e.in_doubt.contains(serial)) keep_.Doubt(pending);
+      if (!pending.ended) {
         ++resumed;
-        const AcceptedMessage& taken = owed.taken;
+        const AcceptedMessage& taken = pending.message;
         effects_.emplace_back(
-            MessageResumed{taken.id, taken.destination, taken.rules, owed.past, taken.give_up_at});
+            MessageResumed{taken.id, taken.destination, taken.rules, pending.past, taken.give_up_at});
       }
       // Of what is over the module hears only where its key waits for the notice.
-      if (!owed.ended || (state_.notices.contains(serial) && !owed.taken.order_key.empty()))
-        effects_.emplace_back(TellMessage{ForModule(owed)});
+      if (!pending.ended || (state_.notices.contains(serial) && !pending.message.order_key.empty()))
+        effects_.emplace_back(TellMessage{ForModule(pending)});
       keep_.Drop(serial);
     }
-    state_.recent.Forget(state_.heard_at);
+    state_.completed.Forget(state_.last_command_at);
     state_.rewrite_due = true;
     effects_.emplace_back(Note{"resumed " + std::to_string(resumed) + " messages, " +
                                std::to_string(state_.notices.size()) + " notices"});
   }
 
   void operator()(const ClientMessage& e) {
-    state_.heard_at = std::max(state_.heard_at, e.at);
-    state_.recent.Forget(state_.heard_at);
-    state_.refusals.Forget(state_.heard_at);
+    state_.last_command_at = std::max(state_.last_command_at, e.at);
+    state_.completed.Forget(state_.last_command_at);
+    state_.refusals.Forget(state_.last_command_at);
     if (SameOnceMore(e)) return;
     if (!e.may_accept) return Answer_(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kStopping);
     const std::size_t room = RecordSize(e.message) + kLaterRecords;
     const bool full = state_.limits.most_open > 0 && state_.open() >= state_.limits.most_open;
-    if (full || state_.room + room > state_.limits.journal_bytes * kOwedOfJournal / 100) {
+    if (full || state_.reserved_bytes + room > state_.limits.journal_bytes * kOwedOfJournal / 100) {
       return Answer_(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kNoRoom);
     }
     AcceptedMessage taken = e.message;
     taken.serial = ++state_.last_serial;
     keep_(taken);
-    Owed& owed = state_.owed.at(taken.serial);
-    owed.unanswered = e.client;
-    owed.taken_at = e.at;
-    state_.fresh.push_back(taken.serial);
-    effects_.emplace_back(TellMessage{ForModule(owed)});
+    PendingMessage& pending = state_.pending.at(taken.serial);
+    pending.waiting_client = e.client;
+    pending.accepted_at = e.at;
+    state_.accepted_in_turn.push_back(taken.serial);
+    effects_.emplace_back(TellMessage{ForModule(pending)});
   }
 
   void operator()(const ClientGone& e) {
-    for (Serial serial : std::vector<Serial>(state_.fresh)) {
-      const Owed& owed = state_.owed.at(serial);
-      if (!owed.unanswered || !Leaves(state_.owed.at(serial), e.connection)) continue;
+    for (Serial serial : std::vector<Serial>(state_.accepted_in_turn)) {
+      const PendingMessage& pending = state_.pending.at(serial);
+      if (!pending.waiting_client || !Leaves(state_.pending.at(serial), e.connection)) continue;
       effects_.emplace_back(TellWithdrawn{serial});
       Forget(serial);
     }
   }
 
-  void operator()(const ListUpdate& e) { TakeList(state_.listed, e, effects_); }
+  void operator()(const ListUpdate& e) { TakeList(state_.endpoints, e, effects_); }
   void operator()(const ListWatchLost& e) { effects_.emplace_back(TellListWatchLost{e.outdated_from}); }
 
   void operator()(const CallEnded& e) {
-    Owed* owed = keep_.Find(e.serial);
-    if (owed == nullptr || !owed->out) return;
+    PendingMessage* pending = keep_.Find(e.serial);
+    if (pending == nullptr || !pending->in_flight) return;
     const AttemptMeaning meaning = MeaningOf(e.attempt_result);
     Outcome outcome;
     outcome.id = e.serial;
-    outcome.attempt = owed->attempts_made - 1;
-    outcome.endpoint = owed->endpoint;
+    outcome.attempt = pending->attempts_made - 1;
+    outcome.endpoint = pending->endpoint;
     outcome.result = meaning.result;
     outcome.latency = e.latency;
-    outcome.last = meaning.message_done || owed->ended;
+    outcome.last = meaning.message_done || pending->ended;
     // An answer in the last moment may have come too late for its client, whose clock began before: the end
     // is told as well, which does no harm where it was in time.
     outcome.untold =
-        meaning.result == Result::kOk && e.at >= owed->taken.give_up_at - kTimeDoubt && !owed->ended;
+        meaning.result == Result::kOk && e.at >= pending->message.give_up_at - kTimeDoubt && !pending->ended;
     outcome.wait = e.wait;
     outcome.load = e.load;
     effects_.emplace_back(TellOutcome{outcome});
     Record_(AttemptFinished{e.serial, meaning.result});
     if (meaning.message_done) {
-      if (!owed->ended)
-        EmitFinished(*owed,
+      if (!pending->ended)
+        EmitFinished(*pending,
                      meaning.result == Result::kOk ? MessageResult::kDelivered : MessageResult::kWithdrawn);
       Record_(
           MessageEnded{e.serial, outcome.untold ? MessageEnd::kFailed : MessageEnd::kNoNotice, Micros(0)});
@@ -122,15 +123,15 @@
   // The end is told after all: that does no harm where the answer was the message's own.
   void operator()(const AnswersDoubted& e) {
     for (Serial serial : e.serials) {
-      const RecentEnds::Entry* entry = state_.recent.Find(serial);
+      const CompletedMessages::Entry* entry = state_.completed.Find(serial);
       if (entry == nullptr || entry->end != MessageEnd::kNoNotice) continue;
-      effects_.emplace_back(MessageDoubted{entry->taken.id});
+      effects_.emplace_back(MessageDoubted{entry->message.id});
       Record_(MessageEnded{serial, MessageEnd::kFailed, Micros(0)});
     }
   }
 
   void operator()(const NoticesAccepted& e) {
-    state_.notices_out = false;
+    state_.notices_in_flight = false;
     for (Serial serial : e.serials) {
       if (!state_.notices.contains(serial)) continue;
       Record_(NoticeAccepted{serial});
@@ -149,17 +150,18 @@
   }
 
   void operator()(const SendRequested& e) {
-    Owed* owed = keep_.Find(e.serial);
-    const auto listed = state_.listed.find(e.endpoint);
-    if (owed == nullptr || owed->ended || owed->out || listed == state_.listed.end()) return;
+    PendingMessage* pending = keep_.Find(e.serial);
+    const auto listed = state_.endpoints.find(e.endpoint);
+    if (pending == nullptr || pending->ended || pending->in_flight || listed == state_.endpoints.end())
+      return;
     const std::string zone = ZoneName(listed->second.endpoint.zone);
     if (e.connected) {
       Record_(AttemptStarted{e.serial, e.endpoint, zone, e.now});
     } else {
       Record_(AttemptConnecting{e.serial, e.endpoint, zone, e.now});
     }
-    ++owed->attempts_made;
-    const AcceptedMessage& t = owed->taken;
+    ++pending->attempts_made;
+    const AcceptedMessage& t = pending->message;
     state_.after_write.emplace_back(
         StartCall{e.serial, e.endpoint, listed->second.dial, t.id, t.idempotency_key, t.body, e.timeout});
   }
@@ -174,9 +176,9 @@
 
   // Between turns, or where a turn's calls start: nothing else is staged then, unless the file is in doubt.
   void operator()(const CallConnected& e) {
-    Owed* owed = keep_.Find(e.serial);
-    if (owed == nullptr || !owed->connecting || state_.rewrite_due) return;
-    Record_(AttemptStarted{e.serial, owed->endpoint, owed->out_zone, owed->sent});
+    PendingMessage* pending = keep_.Find(e.serial);
+    if (pending == nullptr || !pending->connecting || state_.rewrite_due) return;
+    Record_(AttemptStarted{e.serial, pending->endpoint, pending->attempt_zone, pending->attempt_at});
     Commit({});
   }
 
@@ -186,15 +188,15 @@
   void operator()(const TurnEnded&) {
     std::string bytes;
     Effects replies;
-    for (Serial serial : state_.fresh) {
-      Owed& owed = state_.owed.at(serial);
-      AppendRecord(bytes, owed.taken);
+    for (Serial serial : state_.accepted_in_turn) {
+      PendingMessage& pending = state_.pending.at(serial);
+      AppendRecord(bytes, pending.message);
       const auto reply = [&](const ClientRef& client, Refusal refusal) {
-        replies.emplace_back(Reply{client, Answer::kAccepted, Micros(0), owed.taken.id,
-                                   owed.taken.message_class, refusal, std::nullopt});
+        replies.emplace_back(Reply{client, Answer::kAccepted, Micros(0), pending.message.id,
+                                   pending.message.message_class, refusal, std::nullopt});
       };
-      reply(*owed.unanswered, Refusal::kNone);
-      for (const ClientRef& copy : owed.copies) reply(copy, Refusal::kSameId);
+      reply(*pending.waiting_client, Refusal::kNone);
+      for (const ClientRef& copy : pending.duplicates) reply(copy, Refusal::kSameId);
     }
     auto& after_write = state_.after_write;
     after_write.insert(after_write.begin(), std::make_move_iterator(replies.begin()),
@@ -210,12 +212,12 @@
     // Nothing that needed these records may happen: messages are handed back, calls do not start. What the
     // file holds is in doubt, so the next turn writes it anew.
     state_.rewrite_due = true;
-    for (Serial serial : std::vector<Serial>(state_.fresh)) {
-      const Owed& owed = state_.owed.at(serial);
-      AnswerAll(owed, Answer::kBusy, Micros(0), Refusal::kNotWritten);
+    for (Serial serial : std::vector<Serial>(state_.accepted_in_turn)) {
+      const PendingMessage& pending = state_.pending.at(serial);
+      AnswerAll(pending, Answer::kBusy, Micros(0), Refusal::kNotWritten);
       effects_.emplace_back(TellWithdrawn{serial});
       // A send of this turn is over for the module as well, before its message is forgotten.
-      if (state_.owed.at(serial).out)
+      if (state_.pending.at(serial).in_flight)
         (*this)(CallEnded{serial, AttemptResult::kNotStarted, Micros(0), Micros(0), {}});
       Forget(serial);
     }
--- a/src/state/repeated_commands.h
+++ b/src/state/repeated_commands.h
@@ -19,11 +19,11 @@
   // call until then.
   void WithdrawTwins(const std::set<Serial>& own) {
     for (const Serial serial : own) {
-      const Owed& owed = state_.owed.at(serial);
-      if (owed.ended || owed.out || owed.unanswered) continue;
-      const auto named = state_.by_id.find(owed.taken.id);
-      const bool owed_before = named != state_.by_id.end() && named->second != serial;
-      if (!owed_before && !state_.recent.Has(owed.taken.id)) continue;
+      const PendingMessage& pending = state_.pending.at(serial);
+      if (pending.ended || pending.in_flight || pending.waiting_client) continue;
+      const auto named = state_.by_id.find(pending.message.id);
+      const bool pending_before = named != state_.by_id.end() && named->second != serial;
+      if (!pending_before && !state_.completed.Has(pending.message.id)) continue;
       effects_.emplace_back(TellWithdrawn{serial});
       Record_(MessageEnded{serial, MessageEnd::kNoNotice, Micros(0)});
       keep_.Drop(serial);
@@ -33,11 +33,11 @@
   bool SameOnceMore(const ClientMessage& e) {
     const std::string& id = e.message.id;
     const auto known = state_.by_id.find(id);
-    if (known != state_.by_id.end() && state_.owed.at(known->second).unanswered) {
-      state_.owed.at(known->second).copies.push_back(e.client);
+    if (known != state_.by_id.end() && state_.pending.at(known->second).waiting_client) {
+      state_.pending.at(known->second).duplicates.push_back(e.client);
       return true;
     }
-    if (known != state_.by_id.end() || state_.recent.Has(id)) {
+    if (known != state_.by_id.end() || state_.completed.Has(id)) {
       Answer_(e.client, Answer::kAccepted, Micros(0), e.message, Refusal::kSameId);
       return true;
     }
@@ -47,12 +47,12 @@
     return true;
   }
   // Whether nobody is left who waits for its answer.
-  static bool Leaves(Owed& owed, std::uint64_t connection) {
-    std::erase_if(owed.copies, [&](const ClientRef& copy) { return copy.connection == connection; });
-    if (owed.unanswered->connection != connection) return false;
-    if (owed.copies.empty()) return true;
-    owed.unanswered = owed.copies.front();
-    owed.copies.erase(owed.copies.begin());
+  static bool Leaves(PendingMessage& pending, std::uint64_t connection) {
+    std::erase_if(pending.duplicates, [&](const ClientRef& copy) { return copy.connection == connection; });
+    if (pending.waiting_client->connection != connection) return false;
+    if (pending.duplicates.empty()) return true;
+    pending.waiting_client = pending.duplicates.front();
+    pending.duplicates.erase(pending.duplicates.begin());
     return false;
   }
 };
--- a/tests/state_calls_test.cpp
+++ b/tests/state_calls_test.cpp
@@ -59,7 +59,7 @@
   play.End(serial, AttemptResult::kNotStarted);  // as the pool says it
   ASSERT_EQ(play.All<TellOutcome>().size(), 1u);
   EXPECT_EQ(play.All<TellOutcome>()[0].outcome.result, Result::kNotSent);
-  EXPECT_FALSE(play.state.owed.at(serial).past.may_have_run);
+  EXPECT_FALSE(play.state.pending.at(serial).past.may_have_run);
   play.disk_ok = true;
   play.Turn();
   EXPECT_EQ(play.rewrites, 1);
@@ -82,7 +82,7 @@
     EXPECT_EQ(told[0].outcome.endpoint, "s-1");
     EXPECT_EQ(told[0].outcome.wait, milliseconds(30));
     EXPECT_EQ(told[0].outcome.load.limit, 8);
-    EXPECT_EQ(play.state.owed.empty(), MeaningOf(attempt_result).message_done) << NameOf(attempt_result);
+    EXPECT_EQ(play.state.pending.empty(), MeaningOf(attempt_result).message_done) << NameOf(attempt_result);
     EXPECT_TRUE(play.All<PostNotices>().empty());
     play.End(serial, attempt_result);  // a second end of the same call means nothing
     EXPECT_EQ(play.All<TellOutcome>().size(), 1u);
@@ -98,7 +98,7 @@
     const Serial serial = play.Owe("a");
     play.Begin(serial);
     play.effects.clear();
-    const Micros at = play.state.owed.at(serial).taken.give_up_at - before;
+    const Micros at = play.state.pending.at(serial).message.give_up_at - before;
     play.Event_(CallEnded{serial, AttemptResult::kDelivered, milliseconds(9), {}, {}, at});
     play.Turn();
     const bool in_doubt = before <= milliseconds(50);
@@ -107,7 +107,7 @@
     EXPECT_EQ(play.All<TellOutcome>()[0].outcome.untold, in_doubt);
     ASSERT_EQ(play.All<PostNotices>().size(), in_doubt ? 1u : 0u);
     if (!in_doubt) {
-      EXPECT_TRUE(play.state.owed.empty());
+      EXPECT_TRUE(play.state.pending.empty());
       continue;
     }
     EXPECT_EQ(play.All<PostNotices>()[0].notices.at(0).id, "a");
@@ -115,7 +115,7 @@
     EXPECT_EQ(play.Restart().All<PostNotices>().size(), 0u);  // with the first turn of the next life
     play.Event_(NoticesAccepted{{serial}});
     EXPECT_EQ(play.All<TellAnswerTold>().size(), 1u);
-    EXPECT_TRUE(play.state.owed.empty());
+    EXPECT_TRUE(play.state.pending.empty());
   }
 }
 
@@ -139,8 +139,8 @@
   EXPECT_TRUE(play.All<PostNotices>().empty());  // one batch at a time
   play.Event_(NoticesAccepted{{returned, failed}});
   play.Turn();
-  EXPECT_TRUE(play.state.owed.empty());
-  EXPECT_EQ(play.state.room, 0u);
+  EXPECT_TRUE(play.state.pending.empty());
+  EXPECT_EQ(play.state.reserved_bytes, 0u);
   Play next = play.Restart();
   next.Turn();
   EXPECT_TRUE(next.All<PostNotices>().empty());
@@ -166,7 +166,7 @@
   play.End(serial, AttemptResult::kTimedOut);
   ASSERT_EQ(play.All<TellOutcome>().size(), 1u);
   EXPECT_TRUE(play.All<TellOutcome>()[0].outcome.last);
-  EXPECT_TRUE(play.state.owed.empty());
+  EXPECT_TRUE(play.state.pending.empty());
 }
 
 }  // namespace
--- a/tests/state_odd_list_test.cpp
+++ b/tests/state_odd_list_test.cpp
@@ -40,7 +40,7 @@
   Play play;
   play.Event_(ListUpdate{{}, true, {"s-1"}});
   EXPECT_EQ(Told(play), Words{});
-  EXPECT_EQ(play.state.listed.count("s-1"), 0u);
+  EXPECT_EQ(play.state.endpoints.count("s-1"), 0u);
 }
 
 // Told of its new destination alone, the module kept the endpoint ready for the old one's messages too.
--- a/tests/state_recent_test.cpp
+++ b/tests/state_recent_test.cpp
@@ -49,8 +49,8 @@
     next.Event_(Recovered{records, Micros(0)});
     next.Turn();
     EXPECT_EQ(next.state.open(), 0u);
-    EXPECT_TRUE(next.state.owed.empty());
-    EXPECT_TRUE(next.state.recent.Has("a"));
+    EXPECT_TRUE(next.state.pending.empty());
+    EXPECT_TRUE(next.state.completed.Has("a"));
     EXPECT_EQ(next.state.last_serial, serial);
     play.journal = next.journal;
   }
@@ -58,18 +58,18 @@
 
 TEST_F(Recent, ItsTimeBoundsIt) {
   Deliver("a");
-  play.state.recent.Forget(seconds(19));
-  EXPECT_TRUE(play.state.recent.Has("a"));
-  play.state.recent.Forget(seconds(60));
-  EXPECT_FALSE(play.state.recent.Has("a"));
-  EXPECT_EQ(play.state.recent.bytes(), 0u);
+  play.state.completed.Forget(seconds(19));
+  EXPECT_TRUE(play.state.completed.Has("a"));
+  play.state.completed.Forget(seconds(60));
+  EXPECT_FALSE(play.state.completed.Has("a"));
+  EXPECT_EQ(play.state.completed.bytes(), 0u);
 }
 
-// What is owed goes first: the folder's limit holds.
+// What is pending goes first: the folder's limit holds.
 TEST_F(Recent, TheJournalBoundsIt) {
   for (int i = 0; i < 400; ++i) Deliver("m" + std::to_string(i));
-  EXPECT_LE(play.state.recent.bytes(), 10000u);
-  EXPECT_TRUE(play.state.recent.Has("m399"));
+  EXPECT_LE(play.state.completed.bytes(), 10000u);
+  EXPECT_TRUE(play.state.completed.Has("m399"));
   EXPECT_LE(play.most, 100000u);
 }
 
@@ -92,7 +92,7 @@
   EXPECT_EQ(next.All<PostNotices>()[0].notices[0].id, "a");
   play.Event_(NoticesAccepted{{serial}});
   play.Turn();
-  EXPECT_TRUE(play.state.owed.empty());
+  EXPECT_TRUE(play.state.pending.empty());
   EXPECT_EQ(AnswerTo("a"), Answer::kAccepted);
 }
 
@@ -135,7 +135,7 @@
   EXPECT_EQ(next.All<TellWithdrawn>().size(), 2u);
   EXPECT_EQ(next.state.open(), 2u);
   EXPECT_GT(next.state.by_id.at("owed"), 1000u);
-  EXPECT_TRUE(next.state.recent.Has("over"));
+  EXPECT_TRUE(next.state.completed.Has("over"));
 }
 
 }  // namespace
--- a/tests/state_resumption_test.cpp
+++ b/tests/state_resumption_test.cpp
@@ -78,7 +78,7 @@
 TEST(Resumption, AnyPrefixOfTheJournalIsAStateThatWasPromised) {
   // Killed at any byte: what was answered before is there, what was over stays over.
   Play play;
-  std::vector<std::pair<std::size_t, std::string>> promised;  // journal size from which an id is owed
+  std::vector<std::pair<std::size_t, std::string>> promised;  // journal size from which an id is pending
   for (int i = 0; i < 5; ++i) {
     const std::string id = "m" + std::to_string(i);
     play.Owe(id);
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -40,7 +40,7 @@
   EXPECT_EQ(replies[1].answer, Answer::kFailed);
   EXPECT_EQ(play.writes, 0);
   EXPECT_TRUE(play.All<PostNotices>().empty());
-  EXPECT_EQ(play.state.room, 0u);
+  EXPECT_EQ(play.state.reserved_bytes, 0u);
 }
 
 TEST(Reducer, AClientThatLeavesBeforeItsAnswerWithdraws) {
@@ -70,8 +70,8 @@
   EXPECT_EQ(play.state.open(), 1u);
 }
 
-// Guards against a message that is owed and is handed in twice, since its client was refused once intake was
-// over.
+// Guards against a message that is pending and is handed in twice, since its client was refused once intake
+// was over.
 TEST(Reducer, BehindIntakeWhatIsOwedIsStillTakenAndNothingElse) {
   Play play;
   play.Owe("a");
@@ -130,7 +130,7 @@
     play.End(serial, i % 3 == 0 ? AttemptResult::kError : AttemptResult::kDelivered);
     if (i % 3 == 0) play.Event_(FailRequested{serial});
     play.Turn();
-    if (play.state.notices_out) {
+    if (play.state.notices_in_flight) {
       play.Event_(NoticesAccepted{{serial}});
       play.Turn();
     }
@@ -142,7 +142,7 @@
     EXPECT_EQ(play.journal.size(), play.state.journal_size) << i;
   }
   EXPECT_GT(play.rewrites, 3);
-  EXPECT_EQ(play.state.room, 0u);
+  EXPECT_EQ(play.state.reserved_bytes, 0u);
 }
 
 TEST(Reducer, AFailedWriteHandsBackAndStartsNothing) {
@@ -194,9 +194,9 @@
   play.effects.clear();
   play.Event_(ListUpdate{{{{"s-2", 0, 0, 7, EndpointState::kGone}, ""}}, false});
   EXPECT_EQ(play.All<CloseIdle>().at(0).endpoint, "s-2");
-  EXPECT_EQ(play.state.listed.size(), 1u);
+  EXPECT_EQ(play.state.endpoints.size(), 1u);
   play.Event_(ListUpdate{{}, true});  // what is not in it is gone
-  EXPECT_TRUE(play.state.listed.empty());
+  EXPECT_TRUE(play.state.endpoints.empty());
   EXPECT_TRUE(play.All<TellList>().back().whole);
   play.Event_(StopRequested{seconds(9)});
   EXPECT_EQ(play.All<TellStop>().at(0).at, seconds(9));
