--- a/src/state/completed_messages.h
+++ b/src/state/completed_messages.h
@@ -72,14 +72,14 @@
 // again under other ids; a copy of the command comes within about the time that a client waits.
 class RecentRefusals {
  public:
-  static constexpr Micros kRemembered = std::chrono::milliseconds(500);
-  static constexpr std::size_t kMost = 10000;
+  static constexpr Micros kRememberedFor = std::chrono::milliseconds(500);
+  static constexpr std::size_t kMaxRemembered = 10000;
 
   void Add(const std::string& id, Answer answer, Micros at) {
     Forget(at);
     if (!answers_.emplace(id, answer).second) return;  // by the first of several
-    by_time_.emplace(at + kRemembered, id);
-    if (by_time_.size() > kMost) Drop(by_time_.begin());
+    by_time_.emplace(at + kRememberedFor, id);
+    if (by_time_.size() > kMaxRemembered) Drop(by_time_.begin());
   }
   void Forget(Micros now) {
     while (!by_time_.empty() && by_time_.begin()->first <= now) Drop(by_time_.begin());
--- a/src/state/list_news.h
+++ b/src/state/list_update.h
@@ -13,7 +13,7 @@
 using ListedById = std::map<EndpointId, ListedEndpoint>;
 
 // The module knows an endpoint by its destination as well: one that has another now is gone from the old one.
-inline void TellMoved(const ListedById& listed, const Endpoint& now, TellList& told) {
+inline void AddGoneFromOldDestination(const ListedById& listed, const Endpoint& now, TellList& told) {
   const auto it = listed.find(now.id);
   if (it == listed.end() || it->second.endpoint.destination == now.destination) return;
   told.entries.push_back(it->second.endpoint);
@@ -21,18 +21,18 @@
 }
 
 // Of an endpoint of which something unknown was said: it may have been that it drains.
-inline void TellUnsure(ListedById& listed, const EndpointId& id, TellList& told) {
+inline void AddUnreadableAsDraining(ListedById& listed, const EndpointId& id, TellList& told) {
   const auto it = listed.find(id);
   if (it == listed.end()) return;
   it->second.endpoint.state = EndpointState::kDraining;
   told.entries.push_back(it->second.endpoint);
 }
 
-inline void TakeList(ListedById& listed, const ListUpdate& news, Effects& effects) {
+inline void ApplyListUpdate(ListedById& listed, const ListUpdate& news, Effects& effects) {
   TellList told{{}, news.whole};
   ListedById before = news.whole ? std::exchange(listed, {}) : ListedById();
   for (const ListedEndpoint& entry : news.entries) {
-    TellMoved(listed, entry.endpoint, told);
+    AddGoneFromOldDestination(listed, entry.endpoint, told);
     told.entries.push_back(entry.endpoint);
     before.erase(entry.endpoint.id);
     if (entry.endpoint.state != EndpointState::kGone) {
@@ -41,7 +41,7 @@
       before.insert(std::move(node));
     }
   }
-  for (const EndpointId& id : news.unreadable) TellUnsure(listed, id, told);
+  for (const EndpointId& id : news.unreadable) AddUnreadableAsDraining(listed, id, told);
   for (const auto& [id, gone] : before) effects.emplace_back(CloseIdle{id});
   effects.emplace_back(std::move(told));
 }
--- a/src/state/keeper.h
+++ b/src/state/record_applier.h
@@ -10,19 +10,19 @@
 
 namespace indigosaddle::state {
 
-constexpr std::size_t kLaterRecords =
+constexpr std::size_t kReservedForLaterRecords =
     512;  // journal bytes set aside for what follows a AcceptedMessage record
 
-class Keeper {
+class RecordApplier {
  public:
-  explicit Keeper(State& state) : state_(state) {}
+  explicit RecordApplier(State& state) : state_(state) {}
 
   void operator()(const AcceptedMessage& r) {
     PendingMessage& pending = state_.pending[r.serial];
     pending.message = r;
     state_.by_id[r.id] = r.serial;
     state_.last_serial = std::max(state_.last_serial, r.serial);
-    SetRoom(pending, RecordSize(r) + kLaterRecords);
+    SetReservedBytes(pending, RecordSize(r) + kReservedForLaterRecords);
   }
   void operator()(const AttemptConnecting& r) { Attempt(r, true); }
   void operator()(const AttemptStarted& r) { Attempt(r, false); }
@@ -43,21 +43,23 @@
     if (by_id != state_.by_id.end() && by_id->second == r.serial) state_.by_id.erase(by_id);
     pending->message.body = {};  // nothing is sent any more
     state_.completed.Add(pending->message, r.end);
-    SetRoom(*pending, r.end == MessageEnd::kNoNotice ? 0 : RecordSize(pending->message) + kLaterRecords);
+    SetReservedBytes(*pending, r.end == MessageEnd::kNoNotice
+                                   ? 0
+                                   : RecordSize(pending->message) + kReservedForLaterRecords);
     if (r.end != MessageEnd::kNoNotice) {
       state_.notices[r.serial] = {r.serial, pending->message.id, r.end, r.not_before};
     }
   }
   void operator()(const NoticeAccepted& r) {
     state_.notices.erase(r.serial);
-    if (PendingMessage* pending = Find(r.serial)) SetRoom(*pending, 0);
+    if (PendingMessage* pending = Find(r.serial)) SetReservedBytes(*pending, 0);
   }
   void operator()(const AttemptHistory& r) {
     if (PendingMessage* pending = Find(r.serial)) pending->past = r.past, pending->run_zone = r.run_zone;
   }
 
   // A record of it was lost: a call that it told of may have run, long ago and in any zone.
-  void Doubt(PendingMessage& pending) {
+  void MarkInDoubt(PendingMessage& pending) {
     if (pending.past.may_have_run) return;
     pending.past.may_have_run = true;
     pending.past.first_run = Micros(0);
@@ -83,19 +85,19 @@
   }
 
   // Drops what is over, has no call out and owes no notice.
-  void Drop(Serial serial) {
+  void RemoveIfDone(Serial serial) {
     auto it = state_.pending.find(serial);
     if (it == state_.pending.end() || !it->second.ended || it->second.in_flight) return;
     if (state_.notices.contains(serial)) return;
-    SetRoom(it->second, 0);
+    SetReservedBytes(it->second, 0);
     state_.pending.erase(it);
   }
 
   // Takes back a message that was never taken on for good.
-  void Forget(Serial serial) {
+  void Discard(Serial serial) {
     auto it = state_.pending.find(serial);
     if (it == state_.pending.end()) return;
-    SetRoom(it->second, 0);
+    SetReservedBytes(it->second, 0);
     state_.by_id.erase(it->second.message.id);
     state_.notices.erase(serial);
     state_.pending.erase(it);
@@ -114,7 +116,7 @@
     pending->attempt_zone = r.zone;
   }
 
-  void SetRoom(PendingMessage& pending, std::size_t room) {
+  void SetReservedBytes(PendingMessage& pending, std::size_t room) {
     state_.reserved_bytes = state_.reserved_bytes - pending.reserved_bytes + room;
     pending.reserved_bytes = room;
   }
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <utility>
 
-#include "state/list_news.h"
+#include "state/list_update.h"
 #include "state/repeated_commands.h"
 
 namespace indigosaddle::state {
@@ -13,7 +13,7 @@
 
 // How well a message's time is known here: its client counts it from when it sent the first byte, over a way
 // that takes as long as it takes.
-constexpr Micros kTimeDoubt = std::chrono::milliseconds(50);
+constexpr Micros kClientClockUncertainty = std::chrono::milliseconds(50);
 
 class Reducer : private RepeatedCommands {
  public:
@@ -26,8 +26,8 @@
     state_.last_command_at = std::max(state_.last_command_at, e.now);
     std::set<Serial> before;
     for (const auto& [serial, pending] : state_.pending) before.insert(serial);
-    for (const Record& record : e.records) std::visit(keep_, record);
-    WithdrawTwins(before);
+    for (const Record& record : e.records) std::visit(applier_, record);
+    WithdrawDuplicates(before);
     std::vector<Serial> serials;
     for (const auto& [serial, pending] : state_.pending) {
       if (!before.contains(serial)) serials.push_back(serial);
@@ -37,8 +37,8 @@
       PendingMessage& pending = state_.pending.at(serial);
       // Cut off: it may have run, unless its connection was never up.
       if (pending.in_flight)
-        keep_(AttemptFinished{serial, pending.connecting ? Result::kNoConnection : Result::kReset});
-      if (e.in_doubt.contains(serial)) keep_.Doubt(pending);
+        applier_(AttemptFinished{serial, pending.connecting ? Result::kNoConnection : Result::kReset});
+      if (e.in_doubt.contains(serial)) applier_.MarkInDoubt(pending);
       if (!pending.ended) {
         ++resumed;
         const AcceptedMessage& taken = pending.message;
@@ -47,8 +47,8 @@
       }
       // Of what is over the module hears only where its key waits for the notice.
       if (!pending.ended || (state_.notices.contains(serial) && !pending.message.order_key.empty()))
-        effects_.emplace_back(TellMessage{ForModule(pending)});
-      keep_.Drop(serial);
+        effects_.emplace_back(TellMessage{ToPolicyMessage(pending)});
+      applier_.RemoveIfDone(serial);
     }
     state_.completed.Forget(state_.last_command_at);
     state_.rewrite_due = true;
@@ -60,37 +60,37 @@
     state_.last_command_at = std::max(state_.last_command_at, e.at);
     state_.completed.Forget(state_.last_command_at);
     state_.refusals.Forget(state_.last_command_at);
-    if (SameOnceMore(e)) return;
-    if (!e.may_accept) return Answer_(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kStopping);
-    const std::size_t room = RecordSize(e.message) + kLaterRecords;
+    if (AnswerRepeated(e)) return;
+    if (!e.may_accept) return ReplyTo(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kStopping);
+    const std::size_t room = RecordSize(e.message) + kReservedForLaterRecords;
     const bool full = state_.limits.most_open > 0 && state_.open() >= state_.limits.most_open;
-    if (full || state_.reserved_bytes + room > state_.limits.journal_bytes * kOwedOfJournal / 100) {
-      return Answer_(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kNoRoom);
+    if (full || state_.reserved_bytes + room > state_.limits.journal_bytes * kPendingJournalPercent / 100) {
+      return ReplyTo(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kNoRoom);
     }
     AcceptedMessage taken = e.message;
     taken.serial = ++state_.last_serial;
-    keep_(taken);
+    applier_(taken);
     PendingMessage& pending = state_.pending.at(taken.serial);
     pending.waiting_client = e.client;
     pending.accepted_at = e.at;
     state_.accepted_in_turn.push_back(taken.serial);
-    effects_.emplace_back(TellMessage{ForModule(pending)});
+    effects_.emplace_back(TellMessage{ToPolicyMessage(pending)});
   }
 
   void operator()(const ClientGone& e) {
     for (Serial serial : std::vector<Serial>(state_.accepted_in_turn)) {
       const PendingMessage& pending = state_.pending.at(serial);
-      if (!pending.waiting_client || !Leaves(state_.pending.at(serial), e.connection)) continue;
+      if (!pending.waiting_client || !RemoveClient(state_.pending.at(serial), e.connection)) continue;
       effects_.emplace_back(TellWithdrawn{serial});
       Forget(serial);
     }
   }
 
-  void operator()(const ListUpdate& e) { TakeList(state_.endpoints, e, effects_); }
+  void operator()(const ListUpdate& e) { ApplyListUpdate(state_.endpoints, e, effects_); }
   void operator()(const ListWatchLost& e) { effects_.emplace_back(TellListWatchLost{e.outdated_from}); }
 
   void operator()(const CallEnded& e) {
-    PendingMessage* pending = keep_.Find(e.serial);
+    PendingMessage* pending = applier_.Find(e.serial);
     if (pending == nullptr || !pending->in_flight) return;
     const AttemptMeaning meaning = MeaningOf(e.attempt_result);
     Outcome outcome;
@@ -102,20 +102,20 @@
     outcome.last = meaning.message_done || pending->ended;
     // An answer in the last moment may have come too late for its client, whose clock began before: the end
     // is told as well, which does no harm where it was in time.
-    outcome.untold =
-        meaning.result == Result::kOk && e.at >= pending->message.give_up_at - kTimeDoubt && !pending->ended;
+    outcome.untold = meaning.result == Result::kOk &&
+                     e.at >= pending->message.give_up_at - kClientClockUncertainty && !pending->ended;
     outcome.wait = e.wait;
     outcome.load = e.load;
     effects_.emplace_back(TellOutcome{outcome});
-    Record_(AttemptFinished{e.serial, meaning.result});
+    StageRecord(AttemptFinished{e.serial, meaning.result});
     if (meaning.message_done) {
       if (!pending->ended)
         EmitFinished(*pending,
                      meaning.result == Result::kOk ? MessageResult::kDelivered : MessageResult::kWithdrawn);
-      Record_(
+      StageRecord(
           MessageEnded{e.serial, outcome.untold ? MessageEnd::kFailed : MessageEnd::kNoNotice, Micros(0)});
     }
-    keep_.Drop(e.serial);
+    applier_.RemoveIfDone(e.serial);
   }
 
   void operator()(const RetryAfterReceived& e) { effects_.emplace_back(TellRetryAfter{e.endpoint, e.wait}); }
@@ -126,7 +126,7 @@
       const CompletedMessages::Entry* entry = state_.completed.Find(serial);
       if (entry == nullptr || entry->end != MessageEnd::kNoNotice) continue;
       effects_.emplace_back(MessageDoubted{entry->message.id});
-      Record_(MessageEnded{serial, MessageEnd::kFailed, Micros(0)});
+      StageRecord(MessageEnded{serial, MessageEnd::kFailed, Micros(0)});
     }
   }
 
@@ -134,9 +134,9 @@
     state_.notices_in_flight = false;
     for (Serial serial : e.serials) {
       if (!state_.notices.contains(serial)) continue;
-      Record_(NoticeAccepted{serial});
+      StageRecord(NoticeAccepted{serial});
       effects_.emplace_back(TellAnswerTold{serial});
-      keep_.Drop(serial);
+      applier_.RemoveIfDone(serial);
     }
   }
 
@@ -150,15 +150,15 @@
   }
 
   void operator()(const SendRequested& e) {
-    PendingMessage* pending = keep_.Find(e.serial);
+    PendingMessage* pending = applier_.Find(e.serial);
     const auto listed = state_.endpoints.find(e.endpoint);
     if (pending == nullptr || pending->ended || pending->in_flight || listed == state_.endpoints.end())
       return;
     const std::string zone = ZoneName(listed->second.endpoint.zone);
     if (e.connected) {
-      Record_(AttemptStarted{e.serial, e.endpoint, zone, e.now});
+      StageRecord(AttemptStarted{e.serial, e.endpoint, zone, e.now});
     } else {
-      Record_(AttemptConnecting{e.serial, e.endpoint, zone, e.now});
+      StageRecord(AttemptConnecting{e.serial, e.endpoint, zone, e.now});
     }
     ++pending->attempts_made;
     const AcceptedMessage& t = pending->message;
@@ -167,18 +167,18 @@
   }
 
   void operator()(const ReturnRequested& e) {
-    Finish(e.serial, MessageEnd::kReturned, e.not_before, e.cause);
+    EndMessage(e.serial, MessageEnd::kReturned, e.not_before, e.cause);
   }
-  void operator()(const FailRequested& e) { Finish(e.serial, MessageEnd::kFailed, Micros(0), e.cause); }
+  void operator()(const FailRequested& e) { EndMessage(e.serial, MessageEnd::kFailed, Micros(0), e.cause); }
   void operator()(const TimerRequested& e) { effects_.emplace_back(ArmTimer{e.at}); }
   void operator()(const WatchRequested&) { effects_.emplace_back(RenewWatch{}); }
   void operator()(const CloseIdleRequested& e) { effects_.emplace_back(CloseIdle{e.endpoint}); }
 
   // Between turns, or where a turn's calls start: nothing else is staged then, unless the file is in doubt.
   void operator()(const CallConnected& e) {
-    PendingMessage* pending = keep_.Find(e.serial);
+    PendingMessage* pending = applier_.Find(e.serial);
     if (pending == nullptr || !pending->connecting || state_.rewrite_due) return;
-    Record_(AttemptStarted{e.serial, pending->endpoint, pending->attempt_zone, pending->attempt_at});
+    StageRecord(AttemptStarted{e.serial, pending->endpoint, pending->attempt_zone, pending->attempt_at});
     Commit({});
   }
 
@@ -207,7 +207,7 @@
   void operator()(const JournalWritten& e) {
     if (e.ok) {
       state_.rewrite_due = false;
-      return Release();
+      return ReleaseAfterWrite();
     }
     // Nothing that needed these records may happen: messages are handed back, calls do not start. What the
     // file holds is in doubt, so the next turn writes it anew.
--- a/src/state/ledger.h
+++ b/src/state/reducer_base.h
@@ -7,28 +7,30 @@
 #include <string>
 #include <utility>
 
-#include "state/keeper.h"
+#include "state/record_applier.h"
 
 namespace indigosaddle::state {
 
-constexpr std::size_t kBlock = 512;  // the folder's files are counted in whole ones
-constexpr std::size_t kNoticesAtOnce = 500;
-constexpr std::size_t kOwedOfJournal = 45;  // percent of the folder that pending messages may fill: a rewrite
-                                            // needs room beside the old file, and appends between rewrites
-constexpr std::size_t kRecentOfJournal = 10;  // percent, of the same share, for messages that are over
+constexpr std::size_t kBlockBytes = 512;  // the folder's files are counted in whole ones
+constexpr std::size_t kMaxNoticesPerPost = 500;
+constexpr std::size_t kPendingJournalPercent =
+    45;  // percent of the folder that pending messages may fill: a rewrite
+         // needs room beside the old file, and appends between rewrites
+constexpr std::size_t kCompletedJournalPercent =
+    10;  // percent, of the same share, for messages that are over
 
-class Ledger {
+class ReducerBase {
  public:
-  Ledger(State& state, Effects& effects) : state_(state), effects_(effects), keep_(state) {}
+  ReducerBase(State& state, Effects& effects) : state_(state), effects_(effects), applier_(state) {}
 
  protected:
   // What is staged, behind `bytes`, becomes one write; answered by JournalWritten.
   void Commit(std::string bytes) {
     bytes += std::exchange(state_.staged, {});
-    LimitRecent();
+    LimitCompleted();
     // Of a rewrite, rounded up.
     const std::size_t reserve =
-        state_.reserved_bytes + state_.completed.bytes() + JournalHeader().size() + 2 * kBlock;
+        state_.reserved_bytes + state_.completed.bytes() + JournalHeader().size() + 2 * kBlockBytes;
     if (!bytes.empty() || state_.rewrite_due) {
       if (state_.rewrite_due || state_.journal_size + bytes.size() + reserve > state_.limits.journal_bytes) {
         bytes = Snapshot(state_);
@@ -39,34 +41,34 @@
         effects_.emplace_back(AppendJournal{std::move(bytes)});
       }
     } else {
-      Release();
+      ReleaseAfterWrite();
     }
   }
 
-  void LimitRecent() {
-    const std::size_t all = state_.limits.journal_bytes * kOwedOfJournal / 100;
+  void LimitCompleted() {
+    const std::size_t all = state_.limits.journal_bytes * kPendingJournalPercent / 100;
     const std::size_t left = all - std::min(all, state_.reserved_bytes);
-    state_.completed.LimitTo(std::min(left, state_.limits.journal_bytes * kRecentOfJournal / 100));
+    state_.completed.LimitTo(std::min(left, state_.limits.journal_bytes * kCompletedJournalPercent / 100));
   }
 
-  Message ForModule(const PendingMessage& pending) const {
+  Message ToPolicyMessage(const PendingMessage& pending) const {
     Message message;
     message.id = pending.message.serial;
-    message.message_class = Number(state_.limits.classes, pending.message.message_class);
-    message.tenant = Number(state_.limits.tenants, pending.message.tenant);
+    message.message_class = NumberOf(state_.limits.classes, pending.message.message_class);
+    message.tenant = NumberOf(state_.limits.tenants, pending.message.tenant);
     message.key = pending.message.order_key;
     message.give_up_at = pending.message.give_up_at;
     message.destination = pending.message.destination;
     message.place = pending.message.serial;
     message.past = pending.past;
-    message.past.run_zone = Number(state_.limits.zones, pending.run_zone, kUnknownZone);
+    message.past.run_zone = NumberOf(state_.limits.zones, pending.run_zone, kUnknownZone);
     message.rules = pending.message.rules;
     message.ended = pending.ended.has_value();
     return message;
   }
 
   // `unknown` where the settings do not have the name, or no longer.
-  static int Number(const std::map<std::string, int>& names, const std::string& name, int unknown = -1) {
+  static int NumberOf(const std::map<std::string, int>& names, const std::string& name, int unknown = -1) {
     const auto it = names.find(name);
     return it == names.end() ? unknown : it->second;
   }
@@ -78,12 +80,12 @@
   }
 
   template <typename T>
-  void Record_(const T& record) {
-    keep_(record);
+  void StageRecord(const T& record) {
+    applier_(record);
     AppendRecord(state_.staged, record);
   }
 
-  void Answer_(const ClientRef& client, Answer answer, Micros not_before, const AcceptedMessage& taken,
+  void ReplyTo(const ClientRef& client, Answer answer, Micros not_before, const AcceptedMessage& taken,
                Refusal refusal, std::optional<GiveUpCause> cause = std::nullopt) {
     if (answer != Answer::kAccepted) state_.refusals.Add(taken.id, answer, state_.last_command_at);
     effects_.emplace_back(Reply{client, answer, not_before, taken.id, taken.message_class, refusal, cause});
@@ -91,14 +93,14 @@
   // The message's client, and whoever has sent the same command since.
   void AnswerAll(const PendingMessage& pending, Answer answer, Micros not_before, Refusal refusal,
                  std::optional<GiveUpCause> cause = std::nullopt) {
-    Answer_(*pending.waiting_client, answer, not_before, pending.message, refusal, cause);
+    ReplyTo(*pending.waiting_client, answer, not_before, pending.message, refusal, cause);
     for (const ClientRef& copy : pending.duplicates)
-      Answer_(copy, answer, not_before, pending.message, Refusal::kSameId, cause);
+      ReplyTo(copy, answer, not_before, pending.message, Refusal::kSameId, cause);
   }
 
   // A final answer: to the client while it waits, by a notice after that.
-  void Finish(Serial serial, MessageEnd end, Micros not_before, GiveUpCause cause) {
-    PendingMessage* pending = keep_.Find(serial);
+  void EndMessage(Serial serial, MessageEnd end, Micros not_before, GiveUpCause cause) {
+    PendingMessage* pending = applier_.Find(serial);
     if (pending == nullptr || pending->ended) return;
     if (pending->waiting_client) {
       AnswerAll(*pending, end == MessageEnd::kReturned ? Answer::kBusy : Answer::kFailed, not_before,
@@ -107,7 +109,7 @@
     }
     EmitFinished(*pending, end == MessageEnd::kReturned ? MessageResult::kReturned : MessageResult::kFailed,
                  cause);
-    Record_(MessageEnded{serial, end, not_before});
+    StageRecord(MessageEnded{serial, end, not_before});
   }
 
   void EmitFinished(const PendingMessage& pending, MessageResult result,
@@ -119,11 +121,11 @@
 
   void Forget(Serial serial) {
     std::erase(state_.accepted_in_turn, serial);
-    keep_.Forget(serial);
+    applier_.Discard(serial);
   }
 
   // The journal holds this turn: its replies, calls and notices may go out.
-  void Release() {
+  void ReleaseAfterWrite() {
     for (Serial serial : std::exchange(state_.accepted_in_turn, {})) {
       state_.pending.at(serial).waiting_client.reset();
       state_.pending.at(serial).duplicates.clear();
@@ -133,7 +135,7 @@
     state_.notices_in_flight = true;
     PostNotices post;
     for (const auto& [serial, notice] : state_.notices) {
-      if (post.notices.size() == kNoticesAtOnce) break;
+      if (post.notices.size() == kMaxNoticesPerPost) break;
       post.notices.push_back(notice);
     }
     effects_.emplace_back(std::move(post));
@@ -141,7 +143,7 @@
 
   State& state_;
   Effects& effects_;
-  Keeper keep_;
+  RecordApplier applier_;
 };
 
 }  // namespace indigosaddle::state
--- a/src/state/repeated_commands.h
+++ b/src/state/repeated_commands.h
@@ -6,18 +6,18 @@
 #include <set>
 #include <string>
 
-#include "state/ledger.h"
+#include "state/reducer_base.h"
 
 namespace indigosaddle::state {
 
-class RepeatedCommands : protected Ledger {
+class RepeatedCommands : protected ReducerBase {
  public:
-  using Ledger::Ledger;
+  using ReducerBase::ReducerBase;
 
  protected:
   // What this process took on while the one before it knew the same command already. A successor has begun no
   // call until then.
-  void WithdrawTwins(const std::set<Serial>& own) {
+  void WithdrawDuplicates(const std::set<Serial>& own) {
     for (const Serial serial : own) {
       const PendingMessage& pending = state_.pending.at(serial);
       if (pending.ended || pending.in_flight || pending.waiting_client) continue;
@@ -25,12 +25,12 @@
       const bool pending_before = named != state_.by_id.end() && named->second != serial;
       if (!pending_before && !state_.completed.Has(pending.message.id)) continue;
       effects_.emplace_back(TellWithdrawn{serial});
-      Record_(MessageEnded{serial, MessageEnd::kNoNotice, Micros(0)});
-      keep_.Drop(serial);
+      StageRecord(MessageEnded{serial, MessageEnd::kNoNotice, Micros(0)});
+      applier_.RemoveIfDone(serial);
     }
   }
   // A command that has come before is answered as it was, whatever became of its message.
-  bool SameOnceMore(const ClientMessage& e) {
+  bool AnswerRepeated(const ClientMessage& e) {
     const std::string& id = e.message.id;
     const auto known = state_.by_id.find(id);
     if (known != state_.by_id.end() && state_.pending.at(known->second).waiting_client) {
@@ -38,16 +38,16 @@
       return true;
     }
     if (known != state_.by_id.end() || state_.completed.Has(id)) {
-      Answer_(e.client, Answer::kAccepted, Micros(0), e.message, Refusal::kSameId);
+      ReplyTo(e.client, Answer::kAccepted, Micros(0), e.message, Refusal::kSameId);
       return true;
     }
     const Answer* refused = state_.refusals.Find(id);
     if (refused == nullptr) return false;
-    Answer_(e.client, *refused, Micros(0), e.message, Refusal::kSameId);
+    ReplyTo(e.client, *refused, Micros(0), e.message, Refusal::kSameId);
     return true;
   }
   // Whether nobody is left who waits for its answer.
-  static bool Leaves(PendingMessage& pending, std::uint64_t connection) {
+  static bool RemoveClient(PendingMessage& pending, std::uint64_t connection) {
     std::erase_if(pending.duplicates, [&](const ClientRef& copy) { return copy.connection == connection; });
     if (pending.waiting_client->connection != connection) return false;
     if (pending.duplicates.empty()) return true;
--- a/tests/state_calls_test.cpp
+++ b/tests/state_calls_test.cpp
@@ -5,76 +5,76 @@
 #include <string>
 #include <vector>
 
-#include "state_play.h"
+#include "state_driver.h"
 
 namespace indigosaddle::state {
 namespace {
 
 TEST(Reducer, ACallStartsOnlyAfterItsRecord) {
-  Play play;
-  const Serial serial = play.Owe("a");
-  play.effects.clear();
-  play.Event_(SendRequested{serial, "s-1", seconds(1), seconds(5)});
-  EXPECT_TRUE(play.All<StartCall>().empty());
-  play.Turn();
-  const auto calls = play.Fresh<StartCall>();
+  ReducerDriver driver;
+  const Serial serial = driver.Accept("a");
+  driver.effects.clear();
+  driver.Feed(SendRequested{serial, "s-1", seconds(1), seconds(5)});
+  EXPECT_TRUE(driver.All<StartCall>().empty());
+  driver.EndTurn();
+  const auto calls = driver.TakeAll<StartCall>();
   ASSERT_EQ(calls.size(), 1u);
   EXPECT_EQ(calls[0].dial, "127.0.0.1:1");
   EXPECT_EQ(calls[0].id, "a");
   EXPECT_EQ(calls[0].idempotency_key, "k0");
   EXPECT_EQ(calls[0].body, "b");
-  ASSERT_TRUE(std::holds_alternative<AttemptConnecting>(ParseJournal(play.journal).records.back()));
-  play.Event_(CallConnected{serial});  // its connection is up, and its first byte may leave
-  const auto records = ParseJournal(play.journal).records;
+  ASSERT_TRUE(std::holds_alternative<AttemptConnecting>(ParseJournal(driver.journal).records.back()));
+  driver.Feed(CallConnected{serial});  // its connection is up, and its first byte may leave
+  const auto records = ParseJournal(driver.journal).records;
   ASSERT_TRUE(std::holds_alternative<AttemptStarted>(records.back()));
   EXPECT_EQ(std::get<AttemptStarted>(records.back()).zone, "z-3");
-  const int writes = play.writes;
-  play.Event_(CallConnected{serial});  // it is on record
-  EXPECT_EQ(play.writes, writes);
+  const int writes = driver.writes;
+  driver.Feed(CallConnected{serial});  // it is on record
+  EXPECT_EQ(driver.writes, writes);
 }
 
 // On an idle connection a call begins in its turn: one write holds both.
 TEST(Reducer, ACallOnAnIdleConnectionIsOnRecordAsBegunBeforeItStarts) {
-  Play play;
-  const Serial serial = play.Owe("a");
-  play.effects.clear();
-  const int writes = play.writes;
-  play.Event_(SendRequested{serial, "s-1", seconds(1), seconds(5), true});
-  play.Turn();
-  ASSERT_EQ(play.All<StartCall>().size(), 1u);
-  ASSERT_TRUE(std::holds_alternative<AttemptStarted>(ParseJournal(play.journal).records.back()));
-  play.Event_(CallConnected{serial});
-  EXPECT_EQ(play.writes, writes + 1);
+  ReducerDriver driver;
+  const Serial serial = driver.Accept("a");
+  driver.effects.clear();
+  const int writes = driver.writes;
+  driver.Feed(SendRequested{serial, "s-1", seconds(1), seconds(5), true});
+  driver.EndTurn();
+  ASSERT_EQ(driver.All<StartCall>().size(), 1u);
+  ASSERT_TRUE(std::holds_alternative<AttemptStarted>(ParseJournal(driver.journal).records.back()));
+  driver.Feed(CallConnected{serial});
+  EXPECT_EQ(driver.writes, writes + 1);
 }
 
 // What can't be recorded as begun does not begin: it ends as not sent, and the journal is written anew first.
 TEST(Reducer, ACallWhoseRecordFailsHasNotRun) {
-  Play play;
-  const Serial serial = play.Owe("a");
-  play.Send(serial);
-  play.disk_ok = false;
-  play.Event_(CallConnected{serial});
-  EXPECT_TRUE(play.state.rewrite_due);
-  play.effects.clear();
-  play.End(serial, AttemptResult::kNotStarted);  // as the pool says it
-  ASSERT_EQ(play.All<TellOutcome>().size(), 1u);
-  EXPECT_EQ(play.All<TellOutcome>()[0].outcome.result, Result::kNotSent);
-  EXPECT_FALSE(play.state.pending.at(serial).past.may_have_run);
-  play.disk_ok = true;
-  play.Turn();
-  EXPECT_EQ(play.rewrites, 1);
+  ReducerDriver driver;
+  const Serial serial = driver.Accept("a");
+  driver.Send(serial);
+  driver.disk_ok = false;
+  driver.Feed(CallConnected{serial});
+  EXPECT_TRUE(driver.state.rewrite_due);
+  driver.effects.clear();
+  driver.End(serial, AttemptResult::kNotStarted);  // as the pool says it
+  ASSERT_EQ(driver.All<TellOutcome>().size(), 1u);
+  EXPECT_EQ(driver.All<TellOutcome>()[0].outcome.result, Result::kNotSent);
+  EXPECT_FALSE(driver.state.pending.at(serial).past.may_have_run);
+  driver.disk_ok = true;
+  driver.EndTurn();
+  EXPECT_EQ(driver.rewrites, 1);
 }
 
 TEST(Reducer, EachEndingReachesTheModuleAsItsOutcome) {
   for (int i = 0; i <= static_cast<int>(kLastAttemptResult); ++i) {
     const auto attempt_result = static_cast<AttemptResult>(i);
-    Play play;
-    const Serial serial = play.Owe("a");
-    play.Send(serial);
-    play.effects.clear();
-    play.Event_(CallEnded{serial, attempt_result, milliseconds(9), milliseconds(30), {0.5, 8}});
-    play.Turn();
-    const auto told = play.All<TellOutcome>();
+    ReducerDriver driver;
+    const Serial serial = driver.Accept("a");
+    driver.Send(serial);
+    driver.effects.clear();
+    driver.Feed(CallEnded{serial, attempt_result, milliseconds(9), milliseconds(30), {0.5, 8}});
+    driver.EndTurn();
+    const auto told = driver.All<TellOutcome>();
     ASSERT_EQ(told.size(), 1u) << NameOf(attempt_result);
     EXPECT_EQ(told[0].outcome.result, MeaningOf(attempt_result).result);
     EXPECT_EQ(told[0].outcome.last, MeaningOf(attempt_result).message_done);
@@ -82,10 +82,10 @@
     EXPECT_EQ(told[0].outcome.endpoint, "s-1");
     EXPECT_EQ(told[0].outcome.wait, milliseconds(30));
     EXPECT_EQ(told[0].outcome.load.limit, 8);
-    EXPECT_EQ(play.state.pending.empty(), MeaningOf(attempt_result).message_done) << NameOf(attempt_result);
-    EXPECT_TRUE(play.All<PostNotices>().empty());
-    play.End(serial, attempt_result);  // a second end of the same call means nothing
-    EXPECT_EQ(play.All<TellOutcome>().size(), 1u);
+    EXPECT_EQ(driver.state.pending.empty(), MeaningOf(attempt_result).message_done) << NameOf(attempt_result);
+    EXPECT_TRUE(driver.All<PostNotices>().empty());
+    driver.End(serial, attempt_result);  // a second end of the same call means nothing
+    EXPECT_EQ(driver.All<TellOutcome>().size(), 1u);
   }
 }
 
@@ -94,79 +94,79 @@
 // nothing.
 TEST(Reducer, ADeliveryInTheLastMomentIsToldAsWell) {
   for (const Micros before : {Micros(milliseconds(60)), Micros(milliseconds(50)), Micros(0), -Micros(1)}) {
-    Play play;
-    const Serial serial = play.Owe("a");
-    play.Begin(serial);
-    play.effects.clear();
-    const Micros at = play.state.pending.at(serial).message.give_up_at - before;
-    play.Event_(CallEnded{serial, AttemptResult::kDelivered, milliseconds(9), {}, {}, at});
-    play.Turn();
+    ReducerDriver driver;
+    const Serial serial = driver.Accept("a");
+    driver.SendAndConnect(serial);
+    driver.effects.clear();
+    const Micros at = driver.state.pending.at(serial).message.give_up_at - before;
+    driver.Feed(CallEnded{serial, AttemptResult::kDelivered, milliseconds(9), {}, {}, at});
+    driver.EndTurn();
     const bool in_doubt = before <= milliseconds(50);
-    ASSERT_EQ(play.All<TellOutcome>().size(), 1u);
-    EXPECT_TRUE(play.All<TellOutcome>()[0].outcome.last);
-    EXPECT_EQ(play.All<TellOutcome>()[0].outcome.untold, in_doubt);
-    ASSERT_EQ(play.All<PostNotices>().size(), in_doubt ? 1u : 0u);
+    ASSERT_EQ(driver.All<TellOutcome>().size(), 1u);
+    EXPECT_TRUE(driver.All<TellOutcome>()[0].outcome.last);
+    EXPECT_EQ(driver.All<TellOutcome>()[0].outcome.untold, in_doubt);
+    ASSERT_EQ(driver.All<PostNotices>().size(), in_doubt ? 1u : 0u);
     if (!in_doubt) {
-      EXPECT_TRUE(play.state.pending.empty());
+      EXPECT_TRUE(driver.state.pending.empty());
       continue;
     }
-    EXPECT_EQ(play.All<PostNotices>()[0].notices.at(0).id, "a");
-    EXPECT_EQ(play.All<PostNotices>()[0].notices.at(0).end, MessageEnd::kFailed);
-    EXPECT_EQ(play.Restart().All<PostNotices>().size(), 0u);  // with the first turn of the next life
-    play.Event_(NoticesAccepted{{serial}});
-    EXPECT_EQ(play.All<TellAnswerTold>().size(), 1u);
-    EXPECT_TRUE(play.state.pending.empty());
+    EXPECT_EQ(driver.All<PostNotices>()[0].notices.at(0).id, "a");
+    EXPECT_EQ(driver.All<PostNotices>()[0].notices.at(0).end, MessageEnd::kFailed);
+    EXPECT_EQ(driver.Restart().All<PostNotices>().size(), 0u);  // with the first turn of the next life
+    driver.Feed(NoticesAccepted{{serial}});
+    EXPECT_EQ(driver.All<TellAnswerTold>().size(), 1u);
+    EXPECT_TRUE(driver.state.pending.empty());
   }
 }
 
 TEST(Reducer, AnEndAfterTheAnswerIsOneNoticeUntilItIsTaken) {
-  Play play;
-  const Serial returned = play.Owe("a"), failed = play.Owe("b");
-  play.effects.clear();
-  play.Event_(ReturnRequested{returned, milliseconds(500)});
-  play.Event_(FailRequested{failed});
-  play.Event_(FailRequested{failed});
-  EXPECT_TRUE(play.All<PostNotices>().empty());
-  play.Turn();
-  auto posts = play.Fresh<PostNotices>();
+  ReducerDriver driver;
+  const Serial returned = driver.Accept("a"), failed = driver.Accept("b");
+  driver.effects.clear();
+  driver.Feed(ReturnRequested{returned, milliseconds(500)});
+  driver.Feed(FailRequested{failed});
+  driver.Feed(FailRequested{failed});
+  EXPECT_TRUE(driver.All<PostNotices>().empty());
+  driver.EndTurn();
+  auto posts = driver.TakeAll<PostNotices>();
   ASSERT_EQ(posts.size(), 1u);
   ASSERT_EQ(posts[0].notices.size(), 2u);
   EXPECT_EQ(posts[0].notices[0].id, "a");
   EXPECT_EQ(posts[0].notices[0].end, MessageEnd::kReturned);
   EXPECT_EQ(posts[0].notices[0].not_before, milliseconds(500));
   EXPECT_EQ(posts[0].notices[1].end, MessageEnd::kFailed);
-  play.Turn();
-  EXPECT_TRUE(play.All<PostNotices>().empty());  // one batch at a time
-  play.Event_(NoticesAccepted{{returned, failed}});
-  play.Turn();
-  EXPECT_TRUE(play.state.pending.empty());
-  EXPECT_EQ(play.state.reserved_bytes, 0u);
-  Play next = play.Restart();
-  next.Turn();
+  driver.EndTurn();
+  EXPECT_TRUE(driver.All<PostNotices>().empty());  // one batch at a time
+  driver.Feed(NoticesAccepted{{returned, failed}});
+  driver.EndTurn();
+  EXPECT_TRUE(driver.state.pending.empty());
+  EXPECT_EQ(driver.state.reserved_bytes, 0u);
+  ReducerDriver next = driver.Restart();
+  next.EndTurn();
   EXPECT_TRUE(next.All<PostNotices>().empty());
 }
 
 TEST(Reducer, NothingIsSentForAMessageThatIsOver) {
-  Play play;
-  const Serial serial = play.Owe("a");
-  play.Event_(FailRequested{serial});
-  play.effects.clear();
-  play.Send(serial);
-  EXPECT_TRUE(play.All<StartCall>().empty());
+  ReducerDriver driver;
+  const Serial serial = driver.Accept("a");
+  driver.Feed(FailRequested{serial});
+  driver.effects.clear();
+  driver.Send(serial);
+  EXPECT_TRUE(driver.All<StartCall>().empty());
 }
 
 TEST(Reducer, AMessageThatEndedWithItsCallOutStillTellsThatCallsOutcome) {
-  Play play;
-  const Serial serial = play.Owe("a");
-  play.Send(serial);
-  play.Event_(FailRequested{serial});
-  play.Turn();
-  play.Event_(NoticesAccepted{{serial}});
-  play.effects.clear();
-  play.End(serial, AttemptResult::kTimedOut);
-  ASSERT_EQ(play.All<TellOutcome>().size(), 1u);
-  EXPECT_TRUE(play.All<TellOutcome>()[0].outcome.last);
-  EXPECT_TRUE(play.state.pending.empty());
+  ReducerDriver driver;
+  const Serial serial = driver.Accept("a");
+  driver.Send(serial);
+  driver.Feed(FailRequested{serial});
+  driver.EndTurn();
+  driver.Feed(NoticesAccepted{{serial}});
+  driver.effects.clear();
+  driver.End(serial, AttemptResult::kTimedOut);
+  ASSERT_EQ(driver.All<TellOutcome>().size(), 1u);
+  EXPECT_TRUE(driver.All<TellOutcome>()[0].outcome.last);
+  EXPECT_TRUE(driver.state.pending.empty());
 }
 
 }  // namespace
--- a/tests/state_damage_test.cpp
+++ b/tests/state_damage_test.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "state_play.h"
+#include "state_driver.h"
 
 namespace indigosaddle::state {
 namespace {
@@ -41,7 +41,7 @@
   return ParseJournal(JournalHeader() + Framed(body));
 }
 
-const std::vector<Record> kOneRecordOfEachKind = {SomeTaken(1),
+const std::vector<Record> kOneRecordOfEachKind = {SampleMessage(1),
                                                   AttemptStarted{1, "s-1", "z-2", seconds(3)},
                                                   AttemptFinished{1, Result::kTimeout},
                                                   MessageEnded{1, MessageEnd::kReturned, milliseconds(500)},
@@ -68,40 +68,41 @@
   };
   EXPECT_NE(Changed(AttemptFinished{1, Result::kOk}, last(9, 1)).error, "");
   EXPECT_NE(Changed(MessageEnded{1, MessageEnd::kFailed, {}}, last(3, 9)).error, "");
-  EXPECT_NE(Changed(SomeTaken(1), last(3, 11)).error, "") << "effect";
-  EXPECT_NE(Changed(SomeTaken(1), last(3, 10)).error, "") << "group";
-  EXPECT_NE(Changed(SomeTaken(1), last(2, 1)).error, "") << "order";
-  EXPECT_NE(Changed(SomeTaken(1), [](std::string& body) { body[0] = 7; }).error, "") << "kind";
+  EXPECT_NE(Changed(SampleMessage(1), last(3, 11)).error, "") << "effect";
+  EXPECT_NE(Changed(SampleMessage(1), last(3, 10)).error, "") << "group";
+  EXPECT_NE(Changed(SampleMessage(1), last(2, 1)).error, "") << "order";
+  EXPECT_NE(Changed(SampleMessage(1), [](std::string& body) { body[0] = 7; }).error, "") << "kind";
   const AttemptHistory resumed{1, {4, true, seconds(2), 1}, ""};
   const std::size_t behind = 4 + 8;  // the zone's name, the first run
   EXPECT_NE(Changed(resumed, last(2, behind + 1)).error, "") << "may have run";
   EXPECT_NE(Changed(resumed, last('\xff', behind + 2)).error, "") << "attempts below 0";
   for (const Serial serial : {Serial{0}, ~Serial{0}})
-    EXPECT_NE(Changed(SomeTaken(1), [&](std::string& b) { b.replace(1, 8, Number(serial, 8)); }).error, "");
+    EXPECT_NE(Changed(SampleMessage(1), [&](std::string& b) { b.replace(1, 8, Number(serial, 8)); }).error,
+              "");
 }
 
 // The message of a journal that was taken up, as the module hears of it; the rest of the journal was `read`.
 Message Resumed_(const ParsedJournal& read) {
-  Play next;
+  ReducerDriver next;
   Recovered recovered;
   recovered.records = read.records;
   recovered.in_doubt = MessagesInDoubt(read);
-  next.Event_(recovered);
+  next.Feed(recovered);
   return next.All<TellMessage>().at(0).message;
 }
 
 // Behind the damage a call of the message may be on record, its end too: taken for one that was never sent,
 // it would be sent a second time though it may not be repeated.
 TEST(JournalDamage, WhatCameBeforeMayHaveRun) {
-  Play play;
-  const Serial serial = play.Owe("a");
-  const std::size_t taken = play.journal.size();
-  play.Begin(serial);
-  play.End(serial, AttemptResult::kTimedOut);
-  play.Turn();
-  play.Owe("b");
-  for (std::size_t at = taken; at < play.journal.size(); ++at) {
-    std::string bad = play.journal;
+  ReducerDriver driver;
+  const Serial serial = driver.Accept("a");
+  const std::size_t taken = driver.journal.size();
+  driver.SendAndConnect(serial);
+  driver.End(serial, AttemptResult::kTimedOut);
+  driver.EndTurn();
+  driver.Accept("b");
+  for (std::size_t at = taken; at < driver.journal.size(); ++at) {
+    std::string bad = driver.journal;
     bad[at] = static_cast<char>(bad[at] ^ 0x20);
     const ParsedJournal read = ParseJournal(bad);
     EXPECT_NE(read.error, "") << at;
@@ -113,23 +114,23 @@
 
 // A call that waited for its connection may have begun by then, in another zone too.
 TEST(JournalDamage, ACallThatWaitedForItsConnectionMayHaveRun) {
-  Play play;
-  play.Send(play.Owe("a"));
-  const ParsedJournal damaged = ParseJournal(play.journal + Framed("rubbish"));
+  ReducerDriver driver;
+  driver.Send(driver.Accept("a"));
+  const ParsedJournal damaged = ParseJournal(driver.journal + Framed("rubbish"));
   EXPECT_TRUE(Resumed_(damaged).past.may_have_run);
   EXPECT_EQ(Resumed_(damaged).past.first_run, Micros(0));
   EXPECT_EQ(Resumed_(damaged).past.run_zone, kUnknownZone);
-  EXPECT_FALSE(Resumed_(ParseJournal(play.journal)).past.may_have_run);
+  EXPECT_FALSE(Resumed_(ParseJournal(driver.journal)).past.may_have_run);
 }
 
 // A write that was cut off ends the file and had no effect: what came before it is as it was.
 TEST(JournalDamage, ACutWriteIsNoDamage) {
-  Play play;
-  const Serial serial = play.Owe("a");
-  const std::size_t taken = play.journal.size();
-  play.Begin(serial);
-  for (std::size_t size = taken; size < play.journal.size(); ++size) {
-    const ParsedJournal read = ParseJournal(std::string_view(play.journal).substr(0, size));
+  ReducerDriver driver;
+  const Serial serial = driver.Accept("a");
+  const std::size_t taken = driver.journal.size();
+  driver.SendAndConnect(serial);
+  for (std::size_t size = taken; size < driver.journal.size(); ++size) {
+    const ParsedJournal read = ParseJournal(std::string_view(driver.journal).substr(0, size));
     EXPECT_TRUE(MessagesInDoubt(read).empty()) << size;
     EXPECT_FALSE(Resumed_(read).past.may_have_run) << size;
   }
--- a/tests/state_play.h
+++ b/tests/state_driver.h
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-inline AcceptedMessage SomeTaken(Serial serial, std::string body = "body") {
+inline AcceptedMessage SampleMessage(Serial serial, std::string body = "body") {
   AcceptedMessage t;
   t.serial = serial;
   t.id = "id" + std::to_string(serial);
@@ -31,19 +31,19 @@
 }
 
 // Plays events, carries out the journal's effects on a string, and keeps the rest.
-class Play {
+class ReducerDriver {
  public:
-  explicit Play(std::size_t journal_bytes = 100000, std::size_t most_open = 100)
+  explicit ReducerDriver(std::size_t journal_bytes = 100000, std::size_t most_open = 100)
       : state({most_open, journal_bytes, {{"notice", 0}}, {{"acme", 1}}, {{"z-3", 3}, {"z-2", 2}}}) {
-    Event_(Recovered{});
-    Turn();
-    Event_(ListUpdate{{{{"s-1", 3, 0, 7, EndpointState::kReady}, "127.0.0.1:1"}}, true});
+    Feed(Recovered{});
+    EndTurn();
+    Feed(ListUpdate{{{{"s-1", 3, 0, 7, EndpointState::kReady}, "127.0.0.1:1"}}, true});
     effects.clear();
     writes = rewrites = 0;
   }
 
   // An event, with all that follows from it at once.
-  void Event_(const Event& event) {
+  void Feed(const Event& event) {
     Effects out;
     Reduce(state, event, out);
     for (Effect& effect : out) {
@@ -56,36 +56,36 @@
       ++writes;
       if (disk_ok && append != nullptr) journal += append->bytes;
       if (disk_ok && rewrite != nullptr) journal = rewrite->bytes, ++rewrites;
-      most = std::max(most, journal.size());
-      Event_(JournalWritten{disk_ok});
+      max_journal_bytes = std::max(max_journal_bytes, journal.size());
+      Feed(JournalWritten{disk_ok});
     }
   }
-  void Turn() { Event_(TurnEnded{}); }
-  void Take(const std::string& id, std::uint64_t connection = 1, std::string body = "b") {
+  void EndTurn() { Feed(TurnEnded{}); }
+  void Submit(const std::string& id, std::uint64_t connection = 1, std::string body = "b") {
     ClientMessage e;
     e.may_accept = may_accept;
     e.client = {connection, ++commands};
-    e.message = SomeTaken(0, std::move(body));
+    e.message = SampleMessage(0, std::move(body));
     e.message.id = id;
-    Event_(e);
+    Feed(e);
   }
   // Takes a message on, answered and journalled; its serial.
-  Serial Owe(const std::string& id) {
-    Take(id);
-    Turn();
+  Serial Accept(const std::string& id) {
+    Submit(id);
+    EndTurn();
     return state.by_id.at(id);
   }
   void Send(Serial serial) {
-    Event_(SendRequested{serial, "s-1", seconds(1), seconds(5)});
-    Turn();
+    Feed(SendRequested{serial, "s-1", seconds(1), seconds(5)});
+    EndTurn();
   }
   // The same, and its connection is up.
-  void Begin(Serial serial) {
+  void SendAndConnect(Serial serial) {
     Send(serial);
-    Event_(CallConnected{serial});
+    Feed(CallConnected{serial});
   }
   void End(Serial serial, AttemptResult attempt_result) {
-    Event_(CallEnded{serial, attempt_result, milliseconds(9), {}, {}});
+    Feed(CallEnded{serial, attempt_result, milliseconds(9), {}, {}});
   }
 
   template <typename T>
@@ -97,17 +97,17 @@
     return found;
   }
   template <typename T>
-  std::vector<T> Fresh() {
+  std::vector<T> TakeAll() {
     auto found = All<T>();
     effects.clear();
     return found;
   }
 
   // A second life on what the journal holds.
-  Play Restart() const {
-    Play next;
+  ReducerDriver Restart() const {
+    ReducerDriver next;
     next.journal = journal;
-    next.Event_(Recovered{ParseJournal(journal).records, Micros(0)});
+    next.Feed(Recovered{ParseJournal(journal).records, Micros(0)});
     return next;
   }
 
@@ -115,7 +115,7 @@
   bool may_accept = true;  // whether intake is open
   Effects effects;
   std::string journal;
-  std::size_t most = 0;
+  std::size_t max_journal_bytes = 0;
   int writes = 0, rewrites = 0;
   bool disk_ok = true;
   std::uint64_t commands = 0;
--- a/tests/state_journal_test.cpp
+++ b/tests/state_journal_test.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "state_play.h"
+#include "state_driver.h"
 
 namespace indigosaddle::state {
 namespace {
@@ -64,7 +64,7 @@
 }
 
 std::vector<Record> OneRecordOfEachKind() {
-  return {SomeTaken(1, std::string("\0\r\n\xff", 4)),
+  return {SampleMessage(1, std::string("\0\r\n\xff", 4)),
           AttemptStarted{1, "s-1", "z-2", seconds(3)},
           AttemptFinished{1, Result::kTimeout},
           AttemptHistory{1, {4, true, seconds(2), 1}, "z-1"},
@@ -91,7 +91,7 @@
   EXPECT_EQ(taken.body, std::string("\0\r\n\xff", 4));
   EXPECT_EQ(taken.destination, 7u);
   EXPECT_EQ(taken.give_up_at, seconds(20));
-  EXPECT_EQ(taken.rules, SomeTaken(1).rules);
+  EXPECT_EQ(taken.rules, SampleMessage(1).rules);
   EXPECT_EQ(std::get<AttemptStarted>(read.records.at(1)).zone, "z-2");
   EXPECT_EQ(std::get<AttemptFinished>(read.records.at(2)).result, Result::kTimeout);
   EXPECT_TRUE(std::get<AttemptHistory>(read.records.at(3)).past.may_have_run);
--- a/tests/state_resumption_test.cpp
+++ b/tests/state_resumption_test.cpp
@@ -7,26 +7,27 @@
 #include <utility>
 #include <vector>
 
-#include "state_play.h"
+#include "state_driver.h"
 
 namespace indigosaddle::state {
 namespace {
 
 TEST(Resumption, WhatIsOwedComesBackWithItsAttempts) {
-  Play play;
-  const Serial untried = play.Owe("untried"), turned_away = play.Owe("turned away"), out = play.Owe("out"),
-               error = play.Owe("error"), over = play.Owe("over"), notice = play.Owe("notice");
-  play.Begin(turned_away);
-  play.End(turned_away, AttemptResult::kUnavailable);
-  play.Begin(out);
-  play.Begin(error);
-  play.End(error, AttemptResult::kError);
-  play.Begin(over);
-  play.End(over, AttemptResult::kDelivered);
-  play.Event_(FailRequested{notice});
-  play.Turn();
-
-  Play next = play.Restart();
+  ReducerDriver driver;
+  const Serial untried = driver.Accept("untried"), turned_away = driver.Accept("turned away"),
+               out = driver.Accept("out"), error = driver.Accept("error"), over = driver.Accept("over"),
+               notice = driver.Accept("notice");
+  driver.SendAndConnect(turned_away);
+  driver.End(turned_away, AttemptResult::kUnavailable);
+  driver.SendAndConnect(out);
+  driver.SendAndConnect(error);
+  driver.End(error, AttemptResult::kError);
+  driver.SendAndConnect(over);
+  driver.End(over, AttemptResult::kDelivered);
+  driver.Feed(FailRequested{notice});
+  driver.EndTurn();
+
+  ReducerDriver next = driver.Restart();
   std::map<Serial, Past> past;
   std::vector<Serial> told_as_ended;  // its key waits for the notice
   for (const TellMessage& e : next.All<TellMessage>()) {
@@ -46,13 +47,13 @@
   EXPECT_EQ(past.at(out).first_run, seconds(5));
   EXPECT_EQ(past.at(out).run_zone, 3);
   EXPECT_TRUE(past.at(error).may_have_run);
-  next.Turn();
+  next.EndTurn();
   ASSERT_EQ(next.All<PostNotices>().size(), 1u);
   EXPECT_EQ(next.All<PostNotices>()[0].notices.at(0).id, "notice");
   EXPECT_EQ(next.rewrites, 1);
 
   // And once more, from the rewritten journal: numbers go on, nothing is forgotten.
-  Play third = next.Restart();
+  ReducerDriver third = next.Restart();
   past.clear();
   for (const TellMessage& e : third.All<TellMessage>()) {
     if (!e.message.ended) past[e.message.id] = e.message.past;
@@ -61,14 +62,14 @@
   EXPECT_TRUE(past.at(out).may_have_run);
   EXPECT_EQ(past.at(out).attempts, 1);
   EXPECT_EQ(past.at(out).first_run, seconds(5));
-  third.Turn();
-  EXPECT_GT(third.Owe("new"), over);
+  third.EndTurn();
+  EXPECT_GT(third.Accept("new"), over);
 }
 
 TEST(Resumption, MessagesComeInTheOrderTaken) {
-  Play play;
-  for (int i = 0; i < 20; ++i) play.Owe("m" + std::to_string(i));
-  Play next = play.Restart();
+  ReducerDriver driver;
+  for (int i = 0; i < 20; ++i) driver.Accept("m" + std::to_string(i));
+  ReducerDriver next = driver.Restart();
   std::vector<Serial> order;
   for (const TellMessage& e : next.All<TellMessage>()) order.push_back(e.message.id);
   ASSERT_EQ(order.size(), 20u);
@@ -77,18 +78,18 @@
 
 TEST(Resumption, AnyPrefixOfTheJournalIsAStateThatWasPromised) {
   // Killed at any byte: what was answered before is there, what was over stays over.
-  Play play;
+  ReducerDriver driver;
   std::vector<std::pair<std::size_t, std::string>> promised;  // journal size from which an id is pending
   for (int i = 0; i < 5; ++i) {
     const std::string id = "m" + std::to_string(i);
-    play.Owe(id);
-    promised.emplace_back(play.journal.size(), id);
+    driver.Accept(id);
+    promised.emplace_back(driver.journal.size(), id);
   }
   const std::string head = JournalHeader();
-  for (std::size_t size = 0; size <= play.journal.size(); ++size) {
+  for (std::size_t size = 0; size <= driver.journal.size(); ++size) {
     State state({100, 100000, {{"notice", 0}}, {{"acme", 1}}});
     Effects effects;
-    Reduce(state, Recovered{ParseJournal(std::string_view(play.journal).substr(0, size)).records, {}},
+    Reduce(state, Recovered{ParseJournal(std::string_view(driver.journal).substr(0, size)).records, {}},
            effects);
     for (const auto& [from, id] : promised) EXPECT_EQ(state.by_id.contains(id), size >= from) << size;
   }
@@ -98,20 +99,20 @@
 // From the instant in which its first byte may leave it may have run.
 TEST(Resumption, ACallThatWaitedForItsConnectionHasNotRun) {
   for (const bool begun : {false, true}) {
-    Play play;
-    const Serial serial = play.Owe("a");
-    play.Event_(SendRequested{serial, "s-1", seconds(1), seconds(5), false});
-    play.Turn();
-    ASSERT_EQ(play.All<StartCall>().size(), 1u);
-    if (begun) play.Event_(CallConnected{serial});
-    Play next = play.Restart();
+    ReducerDriver driver;
+    const Serial serial = driver.Accept("a");
+    driver.Feed(SendRequested{serial, "s-1", seconds(1), seconds(5), false});
+    driver.EndTurn();
+    ASSERT_EQ(driver.All<StartCall>().size(), 1u);
+    if (begun) driver.Feed(CallConnected{serial});
+    ReducerDriver next = driver.Restart();
     for (int life = 0; life < 2; ++life, next = next.Restart()) {  // the second from a rewritten journal
       const auto told = next.All<TellMessage>();
       ASSERT_EQ(told.size(), 1u);
       EXPECT_EQ(told[0].message.past.attempts, 1);
       EXPECT_EQ(told[0].message.past.may_have_run, begun);
       EXPECT_EQ(told[0].message.past.first_run, begun ? seconds(5) : seconds(0));
-      next.Turn();
+      next.EndTurn();
     }
   }
 }
@@ -119,15 +120,15 @@
 // The same in a journal that was rewritten while the call waited for its connection.
 TEST(Resumption, ARewriteKeepsWhetherACallHasBegun) {
   for (const bool begun : {false, true}) {
-    Play play;
-    const Serial serial = play.Owe("a");
-    play.Event_(SendRequested{serial, "s-1", seconds(1), seconds(5), false});
-    play.Turn();
-    if (begun) play.Event_(CallConnected{serial});
-    play.state.rewrite_due = true;
-    play.Turn();
-    ASSERT_EQ(play.rewrites, 1);
-    Play next = play.Restart();
+    ReducerDriver driver;
+    const Serial serial = driver.Accept("a");
+    driver.Feed(SendRequested{serial, "s-1", seconds(1), seconds(5), false});
+    driver.EndTurn();
+    if (begun) driver.Feed(CallConnected{serial});
+    driver.state.rewrite_due = true;
+    driver.EndTurn();
+    ASSERT_EQ(driver.rewrites, 1);
+    ReducerDriver next = driver.Restart();
     ASSERT_EQ(next.All<TellMessage>().size(), 1u);
     EXPECT_EQ(next.All<TellMessage>()[0].message.past.attempts, 1);
     EXPECT_EQ(next.All<TellMessage>()[0].message.past.may_have_run, begun);
@@ -158,8 +159,8 @@
     const ParsedJournal read = ParseJournal(old);
     EXPECT_EQ(read.error, "");
     ASSERT_EQ(read.records.size(), 3u);
-    Play next;
-    next.Event_(Recovered{read.records, Micros(0)});
+    ReducerDriver next;
+    next.Feed(Recovered{read.records, Micros(0)});
     ASSERT_EQ(next.All<TellMessage>().size(), 1u);
     const Message message = next.All<TellMessage>()[0].message;
     EXPECT_TRUE(message.past.may_have_run);
@@ -171,39 +172,39 @@
 // Numbers of classes and zones are of one process's settings: what is kept is names and the message's own
 // rules.
 TEST(Resumption, OtherSettingsBindNoMessageToOtherRulesOrToAnotherZone) {
-  Play play;
-  const Serial serial = play.Owe("a");
-  play.Begin(serial);
-  play.End(serial, AttemptResult::kTimedOut);
-  play.Turn();
+  ReducerDriver driver;
+  const Serial serial = driver.Accept("a");
+  driver.SendAndConnect(serial);
+  driver.End(serial, AttemptResult::kTimedOut);
+  driver.EndTurn();
   const auto resumed_with = [&](std::map<std::string, int> zones) {
-    Play next;
+    ReducerDriver next;
     next.state.limits.classes = {};  // dropped
     next.state.limits.zones = std::move(zones);
-    next.Event_(Recovered{ParseJournal(play.journal).records, Micros(0)});
+    next.Feed(Recovered{ParseJournal(driver.journal).records, Micros(0)});
     return next.All<TellMessage>().at(0).message;
   };
   EXPECT_EQ(resumed_with({{"z-2", 3}, {"z-3", 2}}).past.run_zone, 2);
   EXPECT_EQ(resumed_with({{"z-2", 3}}).past.run_zone, kUnknownZone);
-  EXPECT_EQ(resumed_with({}).rules, SomeTaken(1).rules);
+  EXPECT_EQ(resumed_with({}).rules, SampleMessage(1).rules);
   EXPECT_EQ(resumed_with({}).message_class, -1);
 }
 
 // Cut at every byte of the record that says that a call begins: up to its last byte the call has not begun,
 // and nothing of it had left.
 TEST(Resumption, CutAtAnyByteOfACallsRecordItHasNotBegun) {
-  Play play;
-  const Serial serial = play.Owe("a");
-  play.Event_(SendRequested{serial, "s-1", seconds(1), seconds(5), false});
-  play.Turn();
-  const std::size_t before = play.journal.size();
-  play.Event_(CallConnected{serial});
-  ASSERT_GT(play.journal.size(), before);
-  for (std::size_t size = before; size <= play.journal.size(); ++size) {
-    Play next;
-    next.Event_(Recovered{ParseJournal(std::string_view(play.journal).substr(0, size)).records, {}});
+  ReducerDriver driver;
+  const Serial serial = driver.Accept("a");
+  driver.Feed(SendRequested{serial, "s-1", seconds(1), seconds(5), false});
+  driver.EndTurn();
+  const std::size_t before = driver.journal.size();
+  driver.Feed(CallConnected{serial});
+  ASSERT_GT(driver.journal.size(), before);
+  for (std::size_t size = before; size <= driver.journal.size(); ++size) {
+    ReducerDriver next;
+    next.Feed(Recovered{ParseJournal(std::string_view(driver.journal).substr(0, size)).records, {}});
     ASSERT_EQ(next.All<TellMessage>().size(), 1u);
-    EXPECT_EQ(next.All<TellMessage>()[0].message.past.may_have_run, size == play.journal.size()) << size;
+    EXPECT_EQ(next.All<TellMessage>()[0].message.past.may_have_run, size == driver.journal.size()) << size;
   }
 }
 
