--- a/src/state/attempt_result.h
+++ b/src/state/attempt_result.h
@@ -1,5 +1,5 @@
-// Every way in which a call's connection can end, as one value, and the one place where that becomes the
-// module's outcome.
+// Every way in which a call can end, as one value, and the one place that maps it to the delivery policy's
+// result (src/brain.h).
 #pragma once
 
 #include <cstdint>
@@ -9,41 +9,63 @@
 
 namespace indigosaddle::state {
 
+// How a call ended.
 enum class AttemptResult : std::uint8_t {
-  kDelivered,          // a first line with 200
-  kError,              // 500
-  kTooManyRequests,    // 429
-  kUnavailable,        // 503
-  kNoSlot,             // 503 with the no-slot mark
-  kNoAttemptsLeft,     // 504: the end is still pending
-  kGone,               // 410: nothing more is pending
-  kOtherStatus,        // a status that the protocol does not name
-  kMalformedResponse,  // no HTTP, or beyond the limits on headers and bodies
-  kConnectionRefused,  // the connection was refused
-  kConnectFailed,      // it did not come up, the time-out's end included
-  kBrokenBeforeSent,   // it broke, or time was up, before the call's last byte was handed over
-  kBrokenAfterSent,    // it broke or ended after that, with no answer
-  kBrokenMidAnswer,    // within the head of an answer that is no 200
-  kTimedOut,           // no answer in time
-  kCancelled,          // closed by this node for another reason, after the last byte
-  kNotStarted,         // this node could not start it: no descriptor, or the journal could not hold it
+  // Status 200, once its status line is read.
+  kDelivered,
+  // Status 500.
+  kError,
+  // Status 429.
+  kTooManyRequests,
+  // Status 503.
+  kUnavailable,
+  // Status 503 with the no-slot header.
+  kNoSlot,
+  // Status 504: the client must still get a final answer.
+  kNoAttemptsLeft,
+  // Status 410: the message has ended and needs no final answer.
+  kGone,
+  // A status that the protocol does not name.
+  kOtherStatus,
+  // The response is no HTTP, or exceeds the limits on headers and bodies.
+  kMalformedResponse,
+  // The connection was refused.
+  kConnectionRefused,
+  // The connection did not come up, by a connect timeout too.
+  kConnectFailed,
+  // The connection broke, or time was up, before the last byte of the request was handed to the kernel.
+  kBrokenBeforeSent,
+  // The connection broke or ended after that, without a response.
+  kBrokenAfterSent,
+  // The connection broke within the head of a response other than 200.
+  kBrokenMidAnswer,
+  // No response within the attempt timeout.
+  kTimedOut,
+  // Closed by this node for another reason, after the last byte of the request.
+  kCancelled,
+  // This node could not start the call: it had no file descriptor, or the journal could not be written.
+  kNotStarted,
 };
 constexpr AttemptResult kLastAttemptResult = AttemptResult::kNotStarted;
 
+// What an AttemptResult means for the message.
 struct AttemptMeaning {
   Result result;
-  bool message_done;  // nothing more is pending for the message
+  // The message has ended and needs no final answer.
+  bool message_done;
 };
 
 AttemptMeaning MeaningOf(AttemptResult attempt_result);
-// Whether the endpoint has said so itself.
+// Whether a response of the endpoint with a valid status line ended the call.
 constexpr bool IsAnswer(AttemptResult attempt_result) {
   return attempt_result <= AttemptResult::kOtherStatus;
 }
+// The result of a response. `no_slot`: it carries the no-slot header.
 AttemptResult AttemptResultOfStatus(int status, bool no_slot);
+// The name in logs and counters.
 std::string_view NameOf(AttemptResult attempt_result);
 
-// Whether a call that ended so may have taken effect, or may yet. MessagesInDoubt means yes.
+// Whether a call with this result may have taken effect, or may do so later. True where that is not known.
 bool MayHaveRun(Result result);
 
 }  // namespace indigosaddle::state
--- a/src/state/completed_messages.h
+++ b/src/state/completed_messages.h
@@ -1,5 +1,5 @@
-// What became of ids that are over, until their messages' time is: a command that comes again is the same
-// message, and gets the answer that the first one had. A part of the reducer's state.
+// How messages ended, remembered until their deadline: a command with the same id is the same message, and
+// gets the answer that the first command got. A part of the reducer's state.
 #pragma once
 
 #include <cstddef>
@@ -15,50 +15,57 @@
 
 namespace indigosaddle::state {
 
-// Messages that were taken on and are over. They outlive the process: a rewritten journal has them, without
-// their bodies.
+// Accepted messages that have ended. They outlive the process: a rewritten journal holds them, without their
+// bodies.
 class CompletedMessages {
  public:
   struct Entry {
-    AcceptedMessage message;  // without its body
+    // Without its body.
+    AcceptedMessage message;
     MessageEnd end = MessageEnd::kNoNotice;
-    std::size_t bytes = 0;  // of its records in a journal
+    // Size of its records in a journal.
+    std::size_t bytes = 0;
   };
 
-  void Add(AcceptedMessage taken, MessageEnd end) {
-    const Serial serial = taken.serial;
+  // Adds a message, in place of an earlier entry with its serial.
+  void Add(AcceptedMessage message, MessageEnd end) {
+    const Serial serial = message.serial;
     Remove(serial);
-    taken.body.clear();
-    const std::size_t bytes = RecordSize(taken) + RecordSize(MessageEnded{serial, end, Micros(0)});
-    by_id_[taken.id] = serial;
-    by_time_.emplace(taken.give_up_at, serial);
+    message.body.clear();
+    const std::size_t bytes = RecordSize(message) + RecordSize(MessageEnded{serial, end, Micros(0)});
+    by_id_[message.id] = serial;
+    by_time_.emplace(message.give_up_at, serial);
     bytes_ += bytes;
-    entries_.emplace(serial, Entry{std::move(taken), end, bytes});
+    entries_.emplace(serial, Entry{std::move(message), end, bytes});
   }
-  // To so many bytes of a journal: those that are over first go first.
+  // Limits the entries to this many bytes of a journal: those with the earliest deadline are removed first.
   void LimitTo(std::size_t bytes) {
     while (bytes_ > bytes) Remove(by_time_.begin()->second);
   }
-  // Those whose time is over.
+  // Removes the messages whose deadline has passed.
   void Forget(Micros now) {
     while (!by_time_.empty() && by_time_.begin()->first <= now) Remove(by_time_.begin()->second);
   }
+  // Does nothing where the serial is not known.
   void Remove(Serial serial) {
     const auto it = entries_.find(serial);
     if (it == entries_.end()) return;
-    const AcceptedMessage& taken = it->second.message;
-    const auto id = by_id_.find(taken.id);
+    const AcceptedMessage& message = it->second.message;
+    const auto id = by_id_.find(message.id);
     if (id != by_id_.end() && id->second == serial) by_id_.erase(id);
-    by_time_.erase({taken.give_up_at, serial});
+    by_time_.erase({message.give_up_at, serial});
     bytes_ -= it->second.bytes;
     entries_.erase(it);
   }
+  // Null: not known. Valid until the entry is removed.
   const Entry* Find(Serial serial) const {
     const auto it = entries_.find(serial);
     return it == entries_.end() ? nullptr : &it->second;
   }
+  // Whether a message with this id of a client is known.
   bool Has(const std::string& id) const { return by_id_.contains(id); }
   const std::map<Serial, Entry>& entries() const { return entries_; }
+  // Size of all records in a journal.
   std::size_t bytes() const { return bytes_; }
 
  private:
@@ -68,23 +75,28 @@
   std::size_t bytes_ = 0;
 };
 
-// Messages that were refused or failed at the door. Their clients were promised that nothing runs, and come
-// again under other ids; a copy of the command comes within about the time that a client waits.
+// Messages that were refused or failed in the turn in which they came, by their client's id. Their clients
+// were promised that nothing runs, and try again with other ids; a copy of the command arrives within about
+// the time that a client waits for an answer.
 class RecentRefusals {
  public:
+  // How long an answer is remembered.
   static constexpr Micros kRememberedFor = std::chrono::milliseconds(500);
+  // Beyond this the oldest answers are dropped.
   static constexpr std::size_t kMaxRemembered = 10000;
 
+  // Remembers the answer to a command that was read at `at`.
   void Add(const std::string& id, Answer answer, Micros at) {
     Forget(at);
-    if (!answers_.emplace(id, answer).second) return;  // by the first of several
+    if (!answers_.emplace(id, answer).second) return;  // the first answer stands
     by_time_.emplace(at + kRememberedFor, id);
     if (by_time_.size() > kMaxRemembered) Drop(by_time_.begin());
   }
+  // Drops the answers that were remembered long enough.
   void Forget(Micros now) {
     while (!by_time_.empty() && by_time_.begin()->first <= now) Drop(by_time_.begin());
   }
-  // Nothing: it was not refused lately.
+  // Null: not refused lately.
   const Answer* Find(const std::string& id) const {
     const auto it = answers_.find(id);
     return it == answers_.end() ? nullptr : &it->second;
--- a/src/state/effects.h
+++ b/src/state/effects.h
@@ -1,4 +1,5 @@
-// What the reducer asks for, carried out by src/node/node_turn.cpp. A part of src/state/reducer.h.
+// The effects that the reducer asks for (src/state/reducer.h), carried out by src/node/node_turn.cpp. An
+// effect owns all that it carries. Each Tell* effect is passed on to the delivery policy (src/brain.h).
 #pragma once
 
 #include <cstdint>
@@ -16,109 +17,191 @@
 
 namespace indigosaddle::state {
 
+// A message was accepted, or is resumed after a restart.
 struct TellMessage {
   Message message;
 };
+
+// A message was withdrawn before its client was answered.
 struct TellWithdrawn {
   MessageId id = 0;
 };
+
+// The platform has accepted the notice of a message.
 struct TellAnswerTold {
   MessageId id = 0;
 };
+
+// An attempt has ended.
 struct TellOutcome {
   Outcome outcome;
 };
+
+// The list of endpoints or changes to it.
 struct TellList {
   std::vector<Endpoint> entries;
+  // True: endpoints that are not in `entries` are gone.
   bool whole = false;
 };
+
+// See ListWatchLost.
 struct TellListWatchLost {
   Micros outdated_from{0};
 };
+
+// See RetryAfterReceived.
 struct TellRetryAfter {
   EndpointId endpoint;
   Micros wait{0};
 };
+
+// The process stops at this time.
 struct TellStop {
   Micros at{0};
 };
-struct TellZoneUnsure {  // agreed by the fleet; passes the reducer by, since nothing kept here changes with
-                         // it
+
+// The fleet agreed that endpoints of a zone may have gone down unseen. The node emits this itself: the
+// reducer's state does not depend on it.
+struct TellZoneUnsure {
+  // The zone's number in the settings.
   int zone = -1;
 };
+
+// New settings are in force.
 struct TellSettings {
   Settings settings;
 };
-struct AppendJournal {  // answered by JournalWritten
+
+// Append to the journal file. Answered by JournalWritten.
+struct AppendJournal {
   std::string bytes;
 };
-struct RewriteJournal {  // the same, in place of all that the journal holds
+
+// Replace all that the journal file holds. Answered by JournalWritten.
+struct RewriteJournal {
   std::string bytes;
 };
-enum class Answer : std::uint8_t { kAccepted, kBusy, kFailed };
+
+// The answer to a client's command.
+enum class Answer : std::uint8_t {
+  // The message is accepted.
+  kAccepted,
+  // The message is returned: it has not run, and the client may send it again.
+  kBusy,
+  // The message failed; nothing is promised about its effect.
+  kFailed
+};
+
+// Why a command's message was not newly accepted.
 enum class Refusal : std::uint8_t {
+  // It was accepted.
   kNone,
+  // Another command with the same id came before: this one is answered alike.
   kSameId,
+  // The limit on messages or on the journal's size is reached.
   kNoRoom,
+  // The journal could not be written.
   kNotWritten,
+  // The delivery policy returned or failed it in the turn in which it came.
   kPolicy,
+  // Intake is closed.
   kStopping
-};  // why it was not taken on
+};
+// The name in logs.
 std::string_view NameOf(Refusal refusal);
+
+// Answer a client's command.
 struct Reply {
   ClientRef client;
   Answer answer = Answer::kFailed;
-  Micros not_before{0};           // with kBusy
-  std::string id, message_class;  // of the message answered, for the figures
+  // With kBusy: the client may send the message again from then on.
+  Micros not_before{0};
+  // Of the message that is answered, for logs and counters.
+  std::string id;
+  std::string message_class;
   Refusal refusal = Refusal::kNone;
-  std::optional<GiveUpCause> cause{};  // with Refusal::kPolicy
+  // With Refusal::kPolicy.
+  std::optional<GiveUpCause> cause{};
 };
-struct StartCall {  // answered by CallEnded
+
+// Call an endpoint. Answered by CallEnded.
+struct StartCall {
   Serial serial = 0;
   EndpointId endpoint;
+  // The address to connect to.
   std::string dial;
-  std::string id, idempotency_key, body;
+  std::string id;
+  std::string idempotency_key;
+  std::string body;
+  // Attempt timeout.
   Micros timeout{0};
 };
+
+// The final answer of a message whose client has been told that it was accepted.
 struct Notice {
   Serial serial = 0;
   std::string id;
   MessageEnd end = MessageEnd::kFailed;
+  // With kReturned: the message may be sent again from then on.
   Micros not_before{0};
 };
-struct PostNotices {  // answered by NoticesAccepted, however long that takes
+
+// Post notices to the platform. Answered by NoticesAccepted, however long that takes.
+struct PostNotices {
   std::vector<Notice> notices;
 };
+
+// Run a turn at this time.
 struct ArmTimer {
   Micros at{0};
 };
+
+// Subscribe to discovery's list anew.
 struct RenewWatch {};
+
+// Close the idle connections to an endpoint.
 struct CloseIdle {
   EndpointId endpoint;
 };
-struct Note {  // for the log
+
+// Write a text to the log.
+struct Note {
   std::string text;
 };
+
+// The result of an accepted message.
 enum class MessageResult : std::uint8_t { kDelivered, kReturned, kFailed, kWithdrawn };
-struct MessageResumed {  // for the log
+
+// For the log: a message is resumed after a restart.
+struct MessageResumed {
   std::string id;
   std::uint64_t destination = 0;
   RepeatRules rules{};
   Past past;
   Micros give_up_at{0};
 };
-struct MessageDoubted {  // for the log: it was over as delivered, and is told as failed
+
+// For the log: a message that had ended as delivered is reported as failed.
+struct MessageDoubted {
   std::string id;
 };
-struct MessageFinished {  // what became of a message that was taken on
-  std::string id, message_class, tenant;
+
+// For the log and counters: an accepted message has ended.
+struct MessageFinished {
+  std::string id;
+  std::string message_class;
+  std::string tenant;
   std::uint64_t destination = 0;
   MessageResult result = MessageResult::kDelivered;
+  // Attempts made, those before a restart included.
   int attempts = 0;
   RepeatRules rules{};
-  Micros accepted_at{0};               // zero: before a restart
-  std::optional<GiveUpCause> cause{};  // nothing: delivered or withdrawn
+  // Zero: before a restart.
+  Micros accepted_at{0};
+  // Empty: delivered or withdrawn.
+  std::optional<GiveUpCause> cause{};
 };
+
 using Effect = std::variant<TellMessage, TellWithdrawn, TellAnswerTold, TellOutcome, TellList,
                             TellListWatchLost, TellRetryAfter, TellStop, TellZoneUnsure, TellSettings,
                             AppendJournal, RewriteJournal, Reply, StartCall, PostNotices, ArmTimer,
--- a/src/state/events.h
+++ b/src/state/events.h
@@ -1,4 +1,5 @@
-// What the reducer hears. A part of src/state/reducer.h.
+// The events that the reducer handles (src/state/reducer.h). An event is a plain value: it owns all that it
+// carries.
 #pragma once
 
 #include <cstdint>
@@ -16,96 +17,170 @@
 
 namespace indigosaddle::state {
 
-// One command of one client's connection, whose reply is still pending.
+// Identifies one command of one client connection that has not been answered yet.
 struct ClientRef {
-  std::uint64_t connection = 0, command = 0;
+  // Number of the connection.
+  std::uint64_t connection = 0;
+  // Number of the command on that connection.
+  std::uint64_t command = 0;
   friend bool operator==(const ClientRef&, const ClientRef&) = default;
 };
 
-// An entry of discovery's list, as the module and the calls need it.
+// An entry of discovery's list.
 struct ListedEndpoint {
+  // What the delivery policy needs to know of it.
   Endpoint endpoint;
+  // The address that calls connect to.
   std::string dial;
 };
 
-struct Recovered {  // first: what the journal folder held, and from where numbers go on
+// What the journals in the state folder held: at the start, and again where a successor process takes over
+// the journal of the process before it.
+struct Recovered {
   std::vector<Record> records;
   Micros now{0};
-  Serial min_last_serial = 0;   // a successor numbers its messages past those of the process that it replaces
-  std::set<Serial> in_doubt{};  // of these, those of which a record was lost
+  // New messages are numbered above this: a successor numbers its messages past those of the process that it
+  // replaces.
+  Serial min_last_serial = 0;
+  // Messages of `records` of which another record may be lost.
+  std::set<Serial> in_doubt{};
 };
+
+// A client enqueues a message.
 struct ClientMessage {
   ClientRef client;
-  Micros at{0};             // when it was read
-  AcceptedMessage message;  // its serial is given by the reducer
-  int message_class = 0, tenant = 0;
-  bool may_accept = true;  // else only what is pending already is answered as taken on
+  // When the command was read.
+  Micros at{0};
+  // Its serial is assigned by the reducer.
+  AcceptedMessage message;
+  // Numbers of the message's class and tenant in the settings.
+  int message_class = 0;
+  int tenant = 0;
+  // False: only a repeated command of a message that is already accepted is answered as accepted.
+  bool may_accept = true;
 };
+
+// A client connection has closed.
 struct ClientGone {
   std::uint64_t connection = 0;
 };
+
+// Discovery's list or changes to it.
 struct ListUpdate {
   std::vector<ListedEndpoint> entries;
+  // True: endpoints that are not in `entries` are gone.
   bool whole = false;
-  std::vector<EndpointId> unreadable = {};  // of which an entry could not be read: nothing new is sent there
+  // Endpoints with an entry that could not be read: nothing new is sent to them.
+  std::vector<EndpointId> unreadable = {};
 };
+
+// The watch on discovery's list was lost.
 struct ListWatchLost {
-  Micros outdated_from{0};  // unless a list comes before; Micros::max(): not by this
+  // The list counts as outdated from then on unless a list arrives before; Micros::max(): this loss does not
+  // make it outdated.
+  Micros outdated_from{0};
 };
+
+// A call that StartCall started has ended.
 struct CallEnded {
   Serial serial = 0;
   AttemptResult attempt_result = AttemptResult::kNotStarted;
-  Micros latency{0}, wait{0};
+  // From the start of the call to its end.
+  Micros latency{0};
+  // Retry-After of the response; zero: none.
+  Micros wait{0};
   LoadReport load;
+  // When it ended.
   Micros at{0};
 };
-struct RetryAfterReceived {  // by an endpoint, outside of a call's answer
+
+// An endpoint sent a Retry-After outside of the response to a call.
+struct RetryAfterReceived {
   EndpointId endpoint;
   Micros wait{0};
 };
-struct AnswersDoubted {  // answers that ended these messages may have been others' on their connections
+
+// The responses that ended these messages as delivered may have belonged to other calls on the same
+// connections.
+struct AnswersDoubted {
   std::vector<Serial> serials;
 };
-struct NoticesAccepted {  // answered by the platform: nothing more is pending for these
+
+// The platform has accepted the notices of these messages.
+struct NoticesAccepted {
   std::vector<Serial> serials;
 };
+
+// The process is to stop.
 struct StopRequested {
+  // No call may last beyond this.
   Micros ends_at{0};
 };
-struct SettingsChanged {  // numbers of classes and tenants stay, names may have come or gone
+
+// New settings are in force. Numbers of classes and tenants stay; names may be added or removed.
+struct SettingsChanged {
   Settings settings;
+  // See Limits::most_open.
   std::size_t most_open = 0;
-  std::map<std::string, int> classes, tenants;
+  // Numbers by name.
+  std::map<std::string, int> classes;
+  std::map<std::string, int> tenants;
 };
-struct CallConnected {  // its connection is up; its first byte leaves once the record is written
+
+// The connection of a call is up. Its first byte may leave once AttemptStarted is written.
+struct CallConnected {
   Serial serial = 0;
 };
-struct SendRequested {  // these six are the module's decisions
+
+// The six events from here to CloseIdleRequested are decisions of the delivery policy.
+
+// Start an attempt.
+struct SendRequested {
   Serial serial = 0;
   EndpointId endpoint;
-  Micros timeout{0}, now{0};
-  bool connected = false;  // an idle connection is there, so that it begins in this turn
+  // Attempt timeout.
+  Micros timeout{0};
+  // When it was decided.
+  Micros now{0};
+  // An idle connection is available, so that the call begins in this turn.
+  bool connected = false;
 };
+
+// Return the message to its client; the client may send it again from `not_before` on.
 struct ReturnRequested {
   Serial serial = 0;
   Micros not_before{0};
   GiveUpCause cause = GiveUpCause::kOutOfTime;
 };
+
+// End the message as failed, without a promise about its effect.
 struct FailRequested {
   Serial serial = 0;
   GiveUpCause cause = GiveUpCause::kOutOfTime;
 };
+
+// Run a turn at this time.
 struct TimerRequested {
   Micros at{0};
 };
+
+// Subscribe to discovery's list anew.
 struct WatchRequested {};
+
+// Close the idle connections to an endpoint.
 struct CloseIdleRequested {
   EndpointId endpoint;
 };
+
+// All events of the turn have been handled: its records are written now.
 struct TurnEnded {};
+
+// The answer to AppendJournal or RewriteJournal.
 struct JournalWritten {
+  // False: the write failed, and what the file holds is not known.
   bool ok = false;
 };
+
 using Event = std::variant<Recovered, ClientMessage, ClientGone, ListUpdate, ListWatchLost, CallConnected,
                            CallEnded, RetryAfterReceived, AnswersDoubted, NoticesAccepted, StopRequested,
                            SettingsChanged, SendRequested, ReturnRequested, FailRequested, TimerRequested,
--- a/src/state/journal.cpp
+++ b/src/state/journal.cpp
@@ -8,6 +8,8 @@
 namespace indigosaddle::state {
 namespace {
 
+// Appends the fields of a record to a string: integers with the least significant byte first, texts with
+// their length before them.
 class Writer {
  public:
   explicit Writer(std::string& out) : out_(out) {}
--- a/src/state/journal.h
+++ b/src/state/journal.h
@@ -1,5 +1,5 @@
-// The format of the journal folder: a write-ahead log of records, each with its length and checksum. Bytes
-// in, records out; reading and writing the file is the node's part (src/node/journal_file.h).
+// The format of the journal, a write-ahead log of records, each with its length and checksum. Encodes and
+// decodes only; src/node/journal_file.h reads and writes the file.
 #pragma once
 
 #include <cstdint>
@@ -14,70 +14,120 @@
 
 namespace indigosaddle::state {
 
-using Serial = std::uint64_t;  // a message's number in this node: its MessageId at the module
+// A message's number in this node, which is also its MessageId in the delivery policy. Serials begin at 1.
+using Serial = std::uint64_t;
 
-// A message was taken on. Id, keys and body stay the bytes that came.
+// A message was accepted. Id, keys and body are kept byte for byte as they came.
 struct AcceptedMessage {
   Serial serial = 0;
-  std::string id, message_class, tenant, idempotency_key, order_key, body;
+  // The client's id for the message.
+  std::string id;
+  // Names of its class and tenant: numbers differ between settings.
+  std::string message_class;
+  std::string tenant;
+  std::string idempotency_key;
+  // Empty: none.
+  std::string order_key;
+  std::string body;
   std::uint64_t destination = 0;
+  // The deadline.
   Micros give_up_at{0};
-  RepeatRules rules = kStrictestRules;  // from its birth
+  // The rules in force when it was accepted, which it keeps.
+  RepeatRules rules = kStrictestRules;
 };
-struct AttemptStarted {  // on disk before the call's first byte can leave: from here on it may have run
+
+// A call is about to send its first byte. Written before that byte can leave: from here on the call may have
+// run.
+struct AttemptStarted {
   Serial serial = 0;
   std::string endpoint;
-  std::string zone;  // its name: numbers differ between settings; empty: not known
-  Micros at{0};      // when it was decided
+  // The endpoint's zone by name, since numbers differ between settings; empty: not known.
+  std::string zone;
+  // When the attempt was decided.
+  Micros at{0};
 };
-struct AttemptFinished {  // how the attempt that was out ended
+
+// The attempt in flight has ended.
+struct AttemptFinished {
   Serial serial = 0;
   Result result = Result::kReset;
 };
-enum class MessageEnd : std::uint8_t { kNoNotice, kFailed, kReturned };
-struct MessageEnded {  // the message is over; a notice is pending unless the end is kNoNotice
+
+// How a message ended, as far as a notice must tell it.
+enum class MessageEnd : std::uint8_t {
+  // Delivered or withdrawn: no notice is sent.
+  kNoNotice,
+  // A notice says that the message failed.
+  kFailed,
+  // A notice says that the message is returned and has not run.
+  kReturned
+};
+
+// A message has ended. A notice is outstanding unless `end` is kNoNotice.
+struct MessageEnded {
   Serial serial = 0;
   MessageEnd end = MessageEnd::kNoNotice;
-  Micros not_before{0};  // with kReturned
+  // With kReturned: the message may be sent again from then on.
+  Micros not_before{0};
 };
-struct NoticeAccepted {  // the platform has the notice
+
+// The platform has accepted the notice of a message.
+struct NoticeAccepted {
   Serial serial = 0;
 };
-struct AttemptHistory {  // all attempts so far, in a rewritten journal
+
+// Summary of a message's attempts so far, in a rewritten journal.
+struct AttemptHistory {
   Serial serial = 0;
-  Past past;             // but for the zone's number
-  std::string run_zone;  // its name
+  // Its zone number is not stored.
+  Past past;
+  // Zone name of the first attempt that may have run.
+  std::string run_zone;
 };
-// An attempt that waits for its connection: it counts, and nothing of it has left. The same attempt's
-// AttemptStarted follows once the connection is up.
+
+// An attempt waits for its connection: it counts as an attempt, and nothing of it has been sent. The
+// AttemptStarted of the same attempt follows once the connection is up.
 struct AttemptConnecting {
   Serial serial = 0;
-  std::string endpoint, zone;
+  std::string endpoint;
+  // As in AttemptStarted.
+  std::string zone;
+  // When the attempt was decided.
   Micros at{0};
 };
+
+// A record's index in this variant is its kind in the file.
 using Record = std::variant<AcceptedMessage, AttemptStarted, AttemptFinished, MessageEnded, NoticeAccepted,
                             AttemptHistory, AttemptConnecting>;
 
-constexpr std::size_t kMaxRecordBytes = 1 << 18;  // longer lengths are rubbish
+// A length above this is invalid.
+constexpr std::size_t kMaxRecordBytes = 1 << 18;
 
+// The bytes at the start of a journal: magic and version.
 std::string JournalHeader();
+// Appends a record with its length and checksum to `journal`.
 void AppendRecord(std::string& journal, const Record& record);
+// Bytes that AppendRecord adds.
 std::size_t RecordSize(const Record& record);
 
+// A decoded journal.
 struct ParsedJournal {
   std::vector<Record> records;
-  std::size_t valid_bytes = 0;  // bytes that were good
-  std::string error;            // empty: the whole journal was read
-  // It was damaged behind its writing, and what followed is lost: not a write that was cut off at the end,
-  // for what a turn wants is done only once its records are written.
+  // Bytes up to the end of the last valid record.
+  std::size_t valid_bytes = 0;
+  // What is wrong behind that; empty: the whole journal was read.
+  std::string error;
+  // The journal was damaged after it was written, and the records behind the damage are lost. False for a
+  // torn write at the end: that loses nothing, since the effects of a turn are carried out only once its
+  // records are written.
   bool damaged = false;
 };
 ParsedJournal ParseJournal(std::string_view bytes);
 
-// Messages of which a lost record may have said more: all of a journal that is damaged.
+// Messages of which another record may be lost: all messages of a damaged journal.
 std::set<Serial> MessagesInDoubt(const ParsedJournal& journal);
 
-// Written by a program whose records are not known here: it must be left as it is.
+// Whether the journal has a version that this program does not know: the file must be left as it is.
 bool IsOtherVersion(std::string_view bytes);
 
 }  // namespace indigosaddle::state
--- a/src/state/journal_read.cpp
+++ b/src/state/journal_read.cpp
@@ -1,4 +1,4 @@
-// Bytes of the journal read back into records.
+// Decodes a journal. Its encoder is src/state/journal.cpp.
 #include <cstdint>
 #include <limits>
 #include <optional>
@@ -10,10 +10,13 @@
 namespace indigosaddle::state {
 namespace {
 
+// The highest serial that is allowed.
 constexpr Serial kMaxSerial = ~Serial{0} >> 1;
+// The values of a flag.
 enum class Flagged : std::uint8_t { kNo, kYes };
 
-// Reads past the end yield zero and clear ok(), as do values that no program writes.
+// Decodes the fields of a record. A read past the end, or a value that no program writes, yields zero and
+// makes ok() false from then on.
 class Reader {
  public:
   explicit Reader(std::string_view bytes, std::uint64_t version = kVersion)
@@ -31,7 +34,7 @@
     bytes_.remove_prefix(bytes);
     return value;
   }
-  // A message's number: they begin at 1, and the next one behind the highest is one too.
+  // A message's serial: they begin at 1, and the one after the highest that is allowed must be valid too.
   Serial Number() {
     const Serial serial = Unsigned();
     if (serial == 0 || serial > kMaxSerial) ok_ = false;
@@ -76,14 +79,14 @@
   }
   r.destination = in.Unsigned();
   r.give_up_at = in.Time();
-  if (!in.has_rules_and_zone_names()) return;  // born under rules that nobody noted: the strictest
+  if (!in.has_rules_and_zone_names()) return;  // its rules were not recorded: the strictest apply
   r.rules.effect = in.Choice(Effect::kUnsafe);
   r.rules.group = in.Choice(Group::kCell);
   r.rules.key_ttl = in.Time();
   r.rules.sequential = in.Flag();
 }
 
-// A number of an older version is of settings that are not known here.
+// A zone number of an older version belongs to settings that are not known here.
 std::string GetZone(Reader& in) {
   if (in.has_rules_and_zone_names()) return in.Text();
   in.Unsigned(4);
@@ -119,28 +122,30 @@
 template <std::size_t... I>
 std::optional<Record> DecodeAs(std::uint64_t type, Reader& in, std::index_sequence<I...>) {
   std::optional<Record> record;
-  const auto take = [&]<typename T>(std::size_t index, T value) {
+  const auto decode_if = [&]<typename T>(std::size_t index, T value) {
     if (type != index) return;
     Get(in, value);
     if (in.at_end()) record = std::move(value);
   };
-  (take(I, std::variant_alternative_t<I, Record>{}), ...);
+  (decode_if(I, std::variant_alternative_t<I, Record>{}), ...);
   return record;
 }
 
-// The whole record that a body holds, or nothing.
+// The record that a body holds; empty where it is not exactly one record.
 std::optional<Record> Decode(std::string_view body, std::uint64_t version) {
   Reader in(body, version);
   const std::uint64_t type = in.Unsigned(1);
   return DecodeAs(type, in, std::make_index_sequence<std::variant_size_v<Record>>());
 }
 
+// A record behind its length and checksum.
 struct Body {
   std::string_view bytes;
-  bool fits = false;  // its checksum
+  // Its checksum is right.
+  bool checksum_ok = false;
 };
 
-// Of the record that begins here; nothing where its length leads past the end, or is none of a record.
+// The body of the record that begins here; empty where its length exceeds the limit or the remaining bytes.
 std::optional<Body> BodyOf(std::string_view rest) {
   Reader frame(rest.substr(0, kFrameBytes));
   const std::size_t length = frame.Unsigned(4);
@@ -150,21 +155,20 @@
   return Body{bytes, Checksum(bytes) == checksum};
 }
 
-// Whether a whole record stands anywhere behind the first byte. A write that was cut off leaves none.
+// Whether a whole record begins anywhere behind the first byte. A torn write leaves none.
 bool HasRecordAfter(std::string_view rest) {
-  constexpr std::size_t kMinBodyBytes =
-      1 + sizeof(Serial);  // each begins with its kind and a message's number
-  if (rest.size() >= kFrameBytes + kMaxRecordBytes) return true;  // longer than what is left of one
+  constexpr std::size_t kMinBodyBytes = 1 + sizeof(Serial);  // each body begins with its kind and a serial
+  if (rest.size() >= kFrameBytes + kMaxRecordBytes) return true;  // longer than a torn record can be
   for (rest.remove_prefix(1); rest.size() >= kFrameBytes + kMinBodyBytes; rest.remove_prefix(1)) {
     const auto kind = static_cast<unsigned char>(rest[kFrameBytes]);
     if (kind >= std::variant_size_v<Record>) continue;
     const auto body = BodyOf(rest);
-    if (body && body->fits && body->bytes.size() >= kMinBodyBytes) return true;
+    if (body && body->checksum_ok && body->bytes.size() >= kMinBodyBytes) return true;
   }
   return false;
 }
 
-// The version that a journal says it has: nothing where its head is none, or is cut.
+// The version in a journal's header; empty where the header is not valid or is cut off.
 std::optional<std::uint64_t> VersionOf(std::string_view bytes) {
   if (!bytes.starts_with(kMagic) || bytes.size() < kHeaderBytes) return std::nullopt;
   return Reader(bytes.substr(kMagic.size(), kVersionBytes)).Unsigned(kVersionBytes);
@@ -196,10 +200,10 @@
       result.error = result.damaged ? "a record with a wrong length" : "a torn record at the end";
       return result;
     }
-    auto record = body->fits ? Decode(body->bytes, *version) : std::nullopt;
+    auto record = body->checksum_ok ? Decode(body->bytes, *version) : std::nullopt;
     if (!record) {
       result.damaged = true;
-      result.error = body->fits ? "a record of unknown form" : "a record with a wrong checksum";
+      result.error = body->checksum_ok ? "a record of unknown form" : "a record with a wrong checksum";
       return result;
     }
     result.records.push_back(std::move(*record));
@@ -212,7 +216,7 @@
   std::set<Serial> serials;
   if (!journal.damaged) return serials;
   for (const Record& record : journal.records)
-    if (const auto* taken = std::get_if<AcceptedMessage>(&record)) serials.insert(taken->serial);
+    if (const auto* message = std::get_if<AcceptedMessage>(&record)) serials.insert(message->serial);
   return serials;
 }
 
--- a/src/state/list_update.h
+++ b/src/state/list_update.h
@@ -1,5 +1,5 @@
-// News of discovery's list, taken into what is listed: what the module hears of it, and whose idle
-// connections close. A part of src/state/reducer.cpp.
+// Applies an update of discovery's list to the known endpoints: what the delivery policy is told of it, and
+// which endpoints' idle connections are closed. A part of src/state/reducer.cpp.
 #pragma once
 
 #include <map>
@@ -10,38 +10,42 @@
 
 namespace indigosaddle::state {
 
-using ListedById = std::map<EndpointId, ListedEndpoint>;
+// The known endpoints.
+using EndpointsById = std::map<EndpointId, ListedEndpoint>;
 
-// The module knows an endpoint by its destination as well: one that has another now is gone from the old one.
-inline void AddGoneFromOldDestination(const ListedById& listed, const Endpoint& now, TellList& told) {
+// The delivery policy keeps endpoints by destination: an endpoint that has another destination now is
+// reported as gone from the old one first.
+inline void AddGoneFromOldDestination(const EndpointsById& listed, const Endpoint& now, TellList& told) {
   const auto it = listed.find(now.id);
   if (it == listed.end() || it->second.endpoint.destination == now.destination) return;
   told.entries.push_back(it->second.endpoint);
   told.entries.back().state = EndpointState::kGone;
 }
 
-// Of an endpoint of which something unknown was said: it may have been that it drains.
-inline void AddUnreadableAsDraining(ListedById& listed, const EndpointId& id, TellList& told) {
+// An endpoint whose entry could not be read counts as draining, which the entry may have said (rule 3:
+// nothing new to a draining endpoint).
+inline void AddUnreadableAsDraining(EndpointsById& listed, const EndpointId& id, TellList& told) {
   const auto it = listed.find(id);
   if (it == listed.end()) return;
   it->second.endpoint.state = EndpointState::kDraining;
   told.entries.push_back(it->second.endpoint);
 }
 
-inline void ApplyListUpdate(ListedById& listed, const ListUpdate& news, Effects& effects) {
-  TellList told{{}, news.whole};
-  ListedById before = news.whole ? std::exchange(listed, {}) : ListedById();
-  for (const ListedEndpoint& entry : news.entries) {
+// Changes `listed` and appends the effects.
+inline void ApplyListUpdate(EndpointsById& listed, const ListUpdate& update, Effects& effects) {
+  TellList told{{}, update.whole};
+  EndpointsById before = update.whole ? std::exchange(listed, {}) : EndpointsById();
+  for (const ListedEndpoint& entry : update.entries) {
     AddGoneFromOldDestination(listed, entry.endpoint, told);
     told.entries.push_back(entry.endpoint);
     before.erase(entry.endpoint.id);
     if (entry.endpoint.state != EndpointState::kGone) {
       listed[entry.endpoint.id] = entry;
-    } else if (auto node = listed.extract(entry.endpoint.id); !node.empty()) {
-      before.insert(std::move(node));
+    } else if (auto removed = listed.extract(entry.endpoint.id); !removed.empty()) {
+      before.insert(std::move(removed));
     }
   }
-  for (const EndpointId& id : news.unreadable) AddUnreadableAsDraining(listed, id, told);
+  for (const EndpointId& id : update.unreadable) AddUnreadableAsDraining(listed, id, told);
   for (const auto& [id, gone] : before) effects.emplace_back(CloseIdle{id});
   effects.emplace_back(std::move(told));
 }
--- a/src/state/record_applier.h
+++ b/src/state/record_applier.h
@@ -1,5 +1,5 @@
-// What the journal holds, changed in memory by its records: live and in recovery alike. A part of the
-// reducer.
+// Applies journal records to the state in memory, in the same way while serving and in recovery. A part of
+// the reducer.
 #pragma once
 
 #include <algorithm>
@@ -10,9 +10,10 @@
 
 namespace indigosaddle::state {
 
-constexpr std::size_t kReservedForLaterRecords =
-    512;  // journal bytes set aside for what follows a AcceptedMessage record
+// Journal bytes reserved for the records that follow the AcceptedMessage of a message.
+constexpr std::size_t kReservedForLaterRecords = 512;
 
+// Applies one record a call; the state outlives it.
 class RecordApplier {
  public:
   explicit RecordApplier(State& state) : state_(state) {}
@@ -24,8 +25,8 @@
     state_.last_serial = std::max(state_.last_serial, r.serial);
     SetReservedBytes(pending, RecordSize(r) + kReservedForLaterRecords);
   }
-  void operator()(const AttemptConnecting& r) { Attempt(r, true); }
-  void operator()(const AttemptStarted& r) { Attempt(r, false); }
+  void operator()(const AttemptConnecting& r) { ApplyAttempt(r, true); }
+  void operator()(const AttemptStarted& r) { ApplyAttempt(r, false); }
   void operator()(const AttemptFinished& r) {
     PendingMessage* pending = Find(r.serial);
     if (pending == nullptr || !pending->in_flight) return;
@@ -41,7 +42,7 @@
     pending->ended = r;
     const auto by_id = state_.by_id.find(pending->message.id);
     if (by_id != state_.by_id.end() && by_id->second == r.serial) state_.by_id.erase(by_id);
-    pending->message.body = {};  // nothing is sent any more
+    pending->message.body = {};  // not sent any more
     state_.completed.Add(pending->message, r.end);
     SetReservedBytes(*pending, r.end == MessageEnd::kNoNotice
                                    ? 0
@@ -55,10 +56,13 @@
     if (PendingMessage* pending = Find(r.serial)) SetReservedBytes(*pending, 0);
   }
   void operator()(const AttemptHistory& r) {
-    if (PendingMessage* pending = Find(r.serial)) pending->past = r.past, pending->run_zone = r.run_zone;
+    if (PendingMessage* pending = Find(r.serial)) {
+      pending->past = r.past;
+      pending->run_zone = r.run_zone;
+    }
   }
 
-  // A record of it was lost: a call that it told of may have run, long ago and in any zone.
+  // A record of the message may be lost: a call that it recorded may have run, at any time and in any zone.
   void MarkInDoubt(PendingMessage& pending) {
     if (pending.past.may_have_run) return;
     pending.past.may_have_run = true;
@@ -66,13 +70,14 @@
     pending.run_zone.clear();
   }
 
+  // Null: not pending.
   PendingMessage* Find(Serial serial) {
     auto it = state_.pending.find(serial);
     return it == state_.pending.end() ? nullptr : &it->second;
   }
 
-  // The message that this ends: one that is pending, or one that was over with nothing pending and failed
-  // after all.
+  // The message that this record ends: a pending one, or one that ended without a notice and is reported as
+  // failed after all. Null: neither.
   PendingMessage* FindForEnd(const MessageEnded& r) {
     PendingMessage* pending = Find(r.serial);
     if (pending != nullptr && !pending->ended) return pending;
@@ -84,7 +89,7 @@
     return pending;
   }
 
-  // Drops what is over, has no call out and owes no notice.
+  // Removes a message that has ended, if it has no call in flight and no outstanding notice.
   void RemoveIfDone(Serial serial) {
     auto it = state_.pending.find(serial);
     if (it == state_.pending.end() || !it->second.ended || it->second.in_flight) return;
@@ -93,7 +98,7 @@
     state_.pending.erase(it);
   }
 
-  // Takes back a message that was never taken on for good.
+  // Removes a message whose client was never told that it is accepted.
   void Discard(Serial serial) {
     auto it = state_.pending.find(serial);
     if (it == state_.pending.end()) return;
@@ -104,8 +109,9 @@
   }
 
  private:
+  // Both records of one attempt count it once.
   template <typename T>
-  void Attempt(const T& r, bool connecting) {
+  void ApplyAttempt(const T& r, bool connecting) {
     PendingMessage* pending = Find(r.serial);
     if (pending == nullptr) return;
     if (!pending->connecting) ++pending->past.attempts;
@@ -116,15 +122,15 @@
     pending->attempt_zone = r.zone;
   }
 
-  void SetReservedBytes(PendingMessage& pending, std::size_t room) {
-    state_.reserved_bytes = state_.reserved_bytes - pending.reserved_bytes + room;
-    pending.reserved_bytes = room;
+  void SetReservedBytes(PendingMessage& pending, std::size_t bytes) {
+    state_.reserved_bytes = state_.reserved_bytes - pending.reserved_bytes + bytes;
+    pending.reserved_bytes = bytes;
   }
 
   State& state_;
 };
 
-// All that is pending, as a journal of its own.
+// A whole journal of the pending messages and of the completed ones that are still remembered.
 inline std::string Snapshot(const State& state) {
   std::string journal = JournalHeader();
   for (const auto& [serial, pending] : state.pending) {
@@ -132,7 +138,7 @@
     AppendRecord(journal, pending.message);
     Past past = pending.past;
     if (pending.in_flight && !pending.ended)
-      --past.attempts;  // counted by the record of the attempt that is out
+      --past.attempts;  // counted by the record of the attempt in flight
     if (past.attempts > 0 || past.may_have_run)
       AppendRecord(journal, AttemptHistory{serial, past, pending.run_zone});
     if (pending.in_flight && !pending.ended && pending.connecting) {
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -11,16 +11,16 @@
 namespace indigosaddle::state {
 namespace {
 
-// How well a message's time is known here: its client counts it from when it sent the first byte, over a way
-// that takes as long as it takes.
+// How uncertain a message's deadline is here: its client counts from when it sent the first byte, and the
+// time on the network is not known.
 constexpr Micros kClientClockUncertainty = std::chrono::milliseconds(50);
 
 class Reducer : private RepeatedCommands {
  public:
   using RepeatedCommands::RepeatedCommands;
 
-  // At the start, and again where a successor takes over what the process before it left: only what the
-  // records bring is resumed, for messages that this process took are its own.
+  // At the start, and again where a successor takes over the journal of the process before it. Only the
+  // messages of the records are resumed: those that this process accepted are already known.
   void operator()(const Recovered& e) {
     state_.last_serial = std::max(state_.last_serial, e.min_last_serial);
     state_.last_command_at = std::max(state_.last_command_at, e.now);
@@ -35,17 +35,17 @@
     int resumed = 0;
     for (Serial serial : serials) {
       PendingMessage& pending = state_.pending.at(serial);
-      // Cut off: it may have run, unless its connection was never up.
+      // The call was cut off by the end of the process: it may have run, unless its connection never came up.
       if (pending.in_flight)
         applier_(AttemptFinished{serial, pending.connecting ? Result::kNoConnection : Result::kReset});
       if (e.in_doubt.contains(serial)) applier_.MarkInDoubt(pending);
       if (!pending.ended) {
         ++resumed;
-        const AcceptedMessage& taken = pending.message;
+        const AcceptedMessage& message = pending.message;
         effects_.emplace_back(
-            MessageResumed{taken.id, taken.destination, taken.rules, pending.past, taken.give_up_at});
+            MessageResumed{message.id, message.destination, message.rules, pending.past, message.give_up_at});
       }
-      // Of what is over the module hears only where its key waits for the notice.
+      // Of ended messages the delivery policy is told only those whose order key waits for the notice.
       if (!pending.ended || (state_.notices.contains(serial) && !pending.message.order_key.empty()))
         effects_.emplace_back(TellMessage{ToPolicyMessage(pending)});
       applier_.RemoveIfDone(serial);
@@ -62,18 +62,18 @@
     state_.refusals.Forget(state_.last_command_at);
     if (AnswerRepeated(e)) return;
     if (!e.may_accept) return ReplyTo(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kStopping);
-    const std::size_t room = RecordSize(e.message) + kReservedForLaterRecords;
+    const std::size_t bytes = RecordSize(e.message) + kReservedForLaterRecords;
     const bool full = state_.limits.most_open > 0 && state_.open() >= state_.limits.most_open;
-    if (full || state_.reserved_bytes + room > state_.limits.journal_bytes * kPendingJournalPercent / 100) {
+    if (full || state_.reserved_bytes + bytes > state_.limits.journal_bytes * kPendingJournalPercent / 100) {
       return ReplyTo(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kNoRoom);
     }
-    AcceptedMessage taken = e.message;
-    taken.serial = ++state_.last_serial;
-    applier_(taken);
-    PendingMessage& pending = state_.pending.at(taken.serial);
+    AcceptedMessage message = e.message;
+    message.serial = ++state_.last_serial;
+    applier_(message);
+    PendingMessage& pending = state_.pending.at(message.serial);
     pending.waiting_client = e.client;
     pending.accepted_at = e.at;
-    state_.accepted_in_turn.push_back(taken.serial);
+    state_.accepted_in_turn.push_back(message.serial);
     effects_.emplace_back(TellMessage{ToPolicyMessage(pending)});
   }
 
@@ -100,8 +100,8 @@
     outcome.result = meaning.result;
     outcome.latency = e.latency;
     outcome.last = meaning.message_done || pending->ended;
-    // An answer in the last moment may have come too late for its client, whose clock began before: the end
-    // is told as well, which does no harm where it was in time.
+    // A response just before the deadline may be too late for the client, whose clock started earlier: a
+    // notice is sent as well, which does no harm where the response was in time.
     outcome.untold = meaning.result == Result::kOk &&
                      e.at >= pending->message.give_up_at - kClientClockUncertainty && !pending->ended;
     outcome.wait = e.wait;
@@ -110,8 +110,8 @@
     StageRecord(AttemptFinished{e.serial, meaning.result});
     if (meaning.message_done) {
       if (!pending->ended)
-        EmitFinished(*pending,
-                     meaning.result == Result::kOk ? MessageResult::kDelivered : MessageResult::kWithdrawn);
+        ReportEnd(*pending,
+                  meaning.result == Result::kOk ? MessageResult::kDelivered : MessageResult::kWithdrawn);
       StageRecord(
           MessageEnded{e.serial, outcome.untold ? MessageEnd::kFailed : MessageEnd::kNoNotice, Micros(0)});
     }
@@ -120,7 +120,7 @@
 
   void operator()(const RetryAfterReceived& e) { effects_.emplace_back(TellRetryAfter{e.endpoint, e.wait}); }
 
-  // The end is told after all: that does no harm where the answer was the message's own.
+  // A notice is sent after all: it does no harm where the response was the message's own.
   void operator()(const AnswersDoubted& e) {
     for (Serial serial : e.serials) {
       const CompletedMessages::Entry* entry = state_.completed.Find(serial);
@@ -161,20 +161,18 @@
       StageRecord(AttemptConnecting{e.serial, e.endpoint, zone, e.now});
     }
     ++pending->attempts_made;
-    const AcceptedMessage& t = pending->message;
-    state_.after_write.emplace_back(
-        StartCall{e.serial, e.endpoint, listed->second.dial, t.id, t.idempotency_key, t.body, e.timeout});
+    const AcceptedMessage& message = pending->message;
+    state_.after_write.emplace_back(StartCall{e.serial, e.endpoint, listed->second.dial, message.id,
+                                              message.idempotency_key, message.body, e.timeout});
   }
 
-  void operator()(const ReturnRequested& e) {
-    EndMessage(e.serial, MessageEnd::kReturned, e.not_before, e.cause);
-  }
-  void operator()(const FailRequested& e) { EndMessage(e.serial, MessageEnd::kFailed, Micros(0), e.cause); }
+  void operator()(const ReturnRequested& e) { End(e.serial, MessageEnd::kReturned, e.not_before, e.cause); }
+  void operator()(const FailRequested& e) { End(e.serial, MessageEnd::kFailed, Micros(0), e.cause); }
   void operator()(const TimerRequested& e) { effects_.emplace_back(ArmTimer{e.at}); }
   void operator()(const WatchRequested&) { effects_.emplace_back(RenewWatch{}); }
   void operator()(const CloseIdleRequested& e) { effects_.emplace_back(CloseIdle{e.endpoint}); }
 
-  // Between turns, or where a turn's calls start: nothing else is staged then, unless the file is in doubt.
+  // Comes between turns or as a turn's calls start: nothing else is staged then, unless a rewrite is due.
   void operator()(const CallConnected& e) {
     PendingMessage* pending = applier_.Find(e.serial);
     if (pending == nullptr || !pending->connecting || state_.rewrite_due) return;
@@ -182,9 +180,9 @@
     Commit({});
   }
 
-  // AcceptedMessage records come first: what else this turn recorded may speak of these messages. So do their
-  // replies: a process that is killed behind a call's first byte has told its client that the message is
-  // taken on.
+  // AcceptedMessage records come first, since the other records of this turn may refer to these messages.
+  // Their replies come first among the effects: when a process is killed behind the first byte of a call, the
+  // client has been told that the message is accepted.
   void operator()(const TurnEnded&) {
     std::string bytes;
     Effects replies;
@@ -196,7 +194,7 @@
                                    pending.message.message_class, refusal, std::nullopt});
       };
       reply(*pending.waiting_client, Refusal::kNone);
-      for (const ClientRef& copy : pending.duplicates) reply(copy, Refusal::kSameId);
+      for (const ClientRef& duplicate : pending.duplicates) reply(duplicate, Refusal::kSameId);
     }
     auto& after_write = state_.after_write;
     after_write.insert(after_write.begin(), std::make_move_iterator(replies.begin()),
@@ -209,14 +207,14 @@
       state_.rewrite_due = false;
       return ReleaseAfterWrite();
     }
-    // Nothing that needed these records may happen: messages are handed back, calls do not start. What the
-    // file holds is in doubt, so the next turn writes it anew.
+    // Nothing that needed these records may happen: messages are returned, calls do not start. What the file
+    // holds is not known, so the next turn rewrites it.
     state_.rewrite_due = true;
     for (Serial serial : std::vector<Serial>(state_.accepted_in_turn)) {
       const PendingMessage& pending = state_.pending.at(serial);
       AnswerAll(pending, Answer::kBusy, Micros(0), Refusal::kNotWritten);
       effects_.emplace_back(TellWithdrawn{serial});
-      // A send of this turn is over for the module as well, before its message is forgotten.
+      // The delivery policy is told that an attempt of this turn has ended before its message is removed.
       if (state_.pending.at(serial).in_flight)
         (*this)(CallEnded{serial, AttemptResult::kNotStarted, Micros(0), Micros(0), {}});
       Forget(serial);
--- a/src/state/reducer.h
+++ b/src/state/reducer.h
@@ -1,5 +1,6 @@
-// What the node keeps in memory, and the one function that changes it: from state and event to state and
-// effects, with no I/O and no clock. Effects are carried out by src/node/node.cpp, in the order given.
+// The state that a node keeps in memory, and the one function that changes it: from a state and an event to
+// the next state and effects, without I/O or a clock. src/node/node.cpp carries out the effects in the order
+// given.
 #pragma once
 
 #include <cstdint>
@@ -17,50 +18,89 @@
 
 namespace indigosaddle::state {
 
-struct Limits {                   // what the settings and the machine allow
-  std::size_t most_open = 0;      // messages held; 0: not limited
-  std::size_t journal_bytes = 0;  // for the folder, with a rewrite in progress counted
+// What the settings and the machine allow.
+struct Limits {
+  // Messages held at once; 0: not limited.
+  std::size_t most_open = 0;
+  // Bytes of the journal folder, with a rewrite in progress counted.
+  std::size_t journal_bytes = 0;
   // Numbers of the names in the settings.
-  std::map<std::string, int> classes{}, tenants{}, zones{};
+  std::map<std::string, int> classes{};
+  std::map<std::string, int> tenants{};
+  std::map<std::string, int> zones{};
 };
 
+// A message that is accepted and has no final answer yet, or whose notice or last call is still outstanding.
 struct PendingMessage {
   AcceptedMessage message;
+  // Attempts made so far, before a restart too; the zone's number in it is not used.
   Past past;
-  bool in_flight = false;                // a call
-  bool connecting = false;               // with it, and nothing of it has left
-  int attempts_made = 0;                 // in this process
-  std::string attempt_zone, run_zone;    // names: of the attempt that is out; of the first that may have run
-  Micros attempt_at{0}, accepted_at{0};  // taken_at: zero in what was resumed
+  // A call is in flight.
+  bool in_flight = false;
+  // The call in flight waits for its connection: nothing of it has been sent.
+  bool connecting = false;
+  // Attempts that this process decided on.
+  int attempts_made = 0;
+  // Zone name of the attempt in flight.
+  std::string attempt_zone;
+  // Zone name of the first attempt that may have run.
+  std::string run_zone;
+  // When the attempt in flight was decided.
+  Micros attempt_at{0};
+  // When the client's command was read; zero in a resumed message.
+  Micros accepted_at{0};
+  // Of the attempt in flight.
   EndpointId endpoint;
-  std::optional<MessageEnded> ended;        // kept while its notice is pending or its call is out
-  std::optional<ClientRef> waiting_client;  // taken in the present turn
-  std::vector<ClientRef> duplicates;        // the same command once more meanwhile: answered alike
-  std::size_t reserved_bytes = 0;           // journal bytes set aside for it
+  // How the message ended; kept while its notice is outstanding or its call is in flight.
+  std::optional<MessageEnded> ended;
+  // The client that waits for its answer: only in the turn in which the message was accepted.
+  std::optional<ClientRef> waiting_client;
+  // Commands with the same id that came meanwhile: they get the same answer.
+  std::vector<ClientRef> duplicates;
+  // Journal bytes reserved for this message.
+  std::size_t reserved_bytes = 0;
 };
 
+// All that the reducer remembers between events. Only Reduce changes it, but for `limits` and `rewrite_due`,
+// which the node sets too.
 struct State {
   explicit State(Limits told) : limits(std::move(told)) {}
 
   Limits limits;
   std::map<Serial, PendingMessage> pending;
-  std::unordered_map<std::string, Serial> by_id;  // messages not over
-  CompletedMessages completed;                    // over, and their time is not
+  // Messages that have no final answer, by the client's id.
+  std::unordered_map<std::string, Serial> by_id;
+  // Messages that ended before their deadline.
+  CompletedMessages completed;
   RecentRefusals refusals;
-  Micros last_command_at{0};  // the latest command
+  // When the latest command was read.
+  Micros last_command_at{0};
+  // Discovery's list.
   std::map<EndpointId, ListedEndpoint> endpoints;
+  // The highest serial in use.
   Serial last_serial = 0;
-  std::size_t journal_size = 0, reserved_bytes = 0;  // bytes in the file; set aside for all that is pending
-  bool rewrite_due = false;                          // the file may be damaged
-  std::vector<Serial> accepted_in_turn;              // taken in the present turn
-  std::string staged;                                // records of the present turn
-  Effects after_write;                               // what must wait for them
-  std::map<Serial, Notice> notices;                  // not yet with the platform
+  // Bytes in the journal file.
+  std::size_t journal_size = 0;
+  // Journal bytes reserved for all pending messages.
+  std::size_t reserved_bytes = 0;
+  // The journal file may be damaged: the next write replaces it.
+  bool rewrite_due = false;
+  // Messages accepted in the present turn.
+  std::vector<Serial> accepted_in_turn;
+  // Encoded records of the present turn.
+  std::string staged;
+  // Effects that are released once the records of the turn are written.
+  Effects after_write;
+  // Notices that the platform has not accepted yet.
+  std::map<Serial, Notice> notices;
+  // A PostNotices is not answered yet.
   bool notices_in_flight = false;
 
+  // Number of messages that have no final answer.
   std::size_t open() const { return by_id.size(); }
 };
 
+// Handles one event: changes `state` and appends what is to be done to `effects`.
 void Reduce(State& state, const Event& event, Effects& effects);
 
 }  // namespace indigosaddle::state
--- a/src/state/reducer_base.h
+++ b/src/state/reducer_base.h
@@ -1,5 +1,5 @@
-// What the reducer's events have in common: a record is kept and staged in one step, what is staged becomes
-// one write, and what waited for it is let go behind it. A part of the reducer.
+// What the reducer's event handlers share: a record is applied and staged in one step, all staged records
+// become one journal write, and effects that need it are released behind it. A part of the reducer.
 #pragma once
 
 #include <algorithm>
@@ -11,24 +11,27 @@
 
 namespace indigosaddle::state {
 
-constexpr std::size_t kBlockBytes = 512;  // the folder's files are counted in whole ones
+// Files of the state folder count in whole blocks of this size.
+constexpr std::size_t kBlockBytes = 512;
+// Notices in one PostNotices at most.
 constexpr std::size_t kMaxNoticesPerPost = 500;
-constexpr std::size_t kPendingJournalPercent =
-    45;  // percent of the folder that pending messages may fill: a rewrite
-         // needs room beside the old file, and appends between rewrites
-constexpr std::size_t kCompletedJournalPercent =
-    10;  // percent, of the same share, for messages that are over
+// Percent of the journal folder that pending messages may fill: a rewrite needs room beside the old file, and
+// so do appends between rewrites.
+constexpr std::size_t kPendingJournalPercent = 45;
+// Percent of the journal folder that completed messages may fill, out of the share above.
+constexpr std::size_t kCompletedJournalPercent = 10;
 
+// Holds references only: state and effects outlive it.
 class ReducerBase {
  public:
   ReducerBase(State& state, Effects& effects) : state_(state), effects_(effects), applier_(state) {}
 
  protected:
-  // What is staged, behind `bytes`, becomes one write; answered by JournalWritten.
+  // Writes `bytes` and the staged records behind them in one write, which JournalWritten answers.
   void Commit(std::string bytes) {
     bytes += std::exchange(state_.staged, {});
     LimitCompleted();
-    // Of a rewrite, rounded up.
+    // Size of a rewrite, rounded up.
     const std::size_t reserve =
         state_.reserved_bytes + state_.completed.bytes() + JournalHeader().size() + 2 * kBlockBytes;
     if (!bytes.empty() || state_.rewrite_due) {
@@ -45,12 +48,14 @@
     }
   }
 
+  // Keeps as many completed messages as the journal has room for beside the pending ones.
   void LimitCompleted() {
     const std::size_t all = state_.limits.journal_bytes * kPendingJournalPercent / 100;
     const std::size_t left = all - std::min(all, state_.reserved_bytes);
     state_.completed.LimitTo(std::min(left, state_.limits.journal_bytes * kCompletedJournalPercent / 100));
   }
 
+  // The message as the delivery policy sees it.
   Message ToPolicyMessage(const PendingMessage& pending) const {
     Message message;
     message.id = pending.message.serial;
@@ -67,30 +72,34 @@
     return message;
   }
 
-  // `unknown` where the settings do not have the name, or no longer.
+  // The number of a name in the settings; `unknown` where they do not have it, or no longer.
   static int NumberOf(const std::map<std::string, int>& names, const std::string& name, int unknown = -1) {
     const auto it = names.find(name);
     return it == names.end() ? unknown : it->second;
   }
 
+  // The zone's name in the settings; empty: not known.
   std::string ZoneName(int number) const {
     for (const auto& [name, of_name] : state_.limits.zones)
       if (of_name == number) return name;
     return {};
   }
 
+  // Applies the record now and writes it at the end of the turn.
   template <typename T>
   void StageRecord(const T& record) {
     applier_(record);
     AppendRecord(state_.staged, record);
   }
 
-  void ReplyTo(const ClientRef& client, Answer answer, Micros not_before, const AcceptedMessage& taken,
+  // Answers one command, and remembers the answer of a message that is not accepted.
+  void ReplyTo(const ClientRef& client, Answer answer, Micros not_before, const AcceptedMessage& message,
                Refusal refusal, std::optional<GiveUpCause> cause = std::nullopt) {
-    if (answer != Answer::kAccepted) state_.refusals.Add(taken.id, answer, state_.last_command_at);
-    effects_.emplace_back(Reply{client, answer, not_before, taken.id, taken.message_class, refusal, cause});
+    if (answer != Answer::kAccepted) state_.refusals.Add(message.id, answer, state_.last_command_at);
+    effects_.emplace_back(
+        Reply{client, answer, not_before, message.id, message.message_class, refusal, cause});
   }
-  // The message's client, and whoever has sent the same command since.
+  // Answers the message's client, and the clients that sent the same command since.
   void AnswerAll(const PendingMessage& pending, Answer answer, Micros not_before, Refusal refusal,
                  std::optional<GiveUpCause> cause = std::nullopt) {
     ReplyTo(*pending.waiting_client, answer, not_before, pending.message, refusal, cause);
@@ -98,8 +107,8 @@
       ReplyTo(copy, answer, not_before, pending.message, Refusal::kSameId, cause);
   }
 
-  // A final answer: to the client while it waits, by a notice after that.
-  void EndMessage(Serial serial, MessageEnd end, Micros not_before, GiveUpCause cause) {
+  // Gives the final answer: to the client while it waits, by a notice after that.
+  void End(Serial serial, MessageEnd end, Micros not_before, GiveUpCause cause) {
     PendingMessage* pending = applier_.Find(serial);
     if (pending == nullptr || pending->ended) return;
     if (pending->waiting_client) {
@@ -107,24 +116,27 @@
                 Refusal::kPolicy, cause);
       return Forget(serial);
     }
-    EmitFinished(*pending, end == MessageEnd::kReturned ? MessageResult::kReturned : MessageResult::kFailed,
-                 cause);
+    ReportEnd(*pending, end == MessageEnd::kReturned ? MessageResult::kReturned : MessageResult::kFailed,
+              cause);
     StageRecord(MessageEnded{serial, end, not_before});
   }
 
-  void EmitFinished(const PendingMessage& pending, MessageResult result,
-                    std::optional<GiveUpCause> cause = std::nullopt) {
-    const AcceptedMessage& t = pending.message;
-    effects_.emplace_back(MessageFinished{t.id, t.message_class, t.tenant, t.destination, result,
-                                          pending.past.attempts, t.rules, pending.accepted_at, cause});
+  // Reports the end of an accepted message to the log.
+  void ReportEnd(const PendingMessage& pending, MessageResult result,
+                 std::optional<GiveUpCause> cause = std::nullopt) {
+    const AcceptedMessage& message = pending.message;
+    effects_.emplace_back(MessageFinished{message.id, message.message_class, message.tenant,
+                                          message.destination, result, pending.past.attempts, message.rules,
+                                          pending.accepted_at, cause});
   }
 
+  // Removes a message of the present turn.
   void Forget(Serial serial) {
     std::erase(state_.accepted_in_turn, serial);
     applier_.Discard(serial);
   }
 
-  // The journal holds this turn: its replies, calls and notices may go out.
+  // The journal holds the records of this turn: its replies, calls and notices are released.
   void ReleaseAfterWrite() {
     for (Serial serial : std::exchange(state_.accepted_in_turn, {})) {
       state_.pending.at(serial).waiting_client.reset();
--- a/src/state/repeated_commands.h
+++ b/src/state/repeated_commands.h
@@ -1,5 +1,5 @@
-// Commands that come more than once with one id: each is answered as the first was, and runs once. A part of
-// the reducer.
+// Commands that come more than once with the same id: each is answered as the first was, and the message runs
+// once (rule 2: no double effect). A part of the reducer.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,14 @@
 
 namespace indigosaddle::state {
 
+// Handles commands whose id is known.
 class RepeatedCommands : protected ReducerBase {
  public:
   using ReducerBase::ReducerBase;
 
  protected:
-  // What this process took on while the one before it knew the same command already. A successor has begun no
-  // call until then.
+  // In a successor process: withdraws messages that it accepted although the process before it knew the same
+  // id already. A successor begins no call before this. `own`: serials of the messages that it accepted.
   void WithdrawDuplicates(const std::set<Serial>& own) {
     for (const Serial serial : own) {
       const PendingMessage& pending = state_.pending.at(serial);
@@ -29,7 +30,8 @@
       applier_.RemoveIfDone(serial);
     }
   }
-  // A command that has come before is answered as it was, whatever became of its message.
+  // Answers a command whose id is known as the first one was, whatever became of its message. False: the id
+  // is new.
   bool AnswerRepeated(const ClientMessage& e) {
     const std::string& id = e.message.id;
     const auto known = state_.by_id.find(id);
@@ -46,7 +48,8 @@
     ReplyTo(e.client, *refused, Micros(0), e.message, Refusal::kSameId);
     return true;
   }
-  // Whether nobody is left who waits for its answer.
+  // Removes the commands of a closed connection from those that wait for the message's answer. True: none is
+  // left.
   static bool RemoveClient(PendingMessage& pending, std::uint64_t connection) {
     std::erase_if(pending.duplicates, [&](const ClientRef& copy) { return copy.connection == connection; });
     if (pending.waiting_client->connection != connection) return false;
--- a/tests/state_calls_test.cpp
+++ b/tests/state_calls_test.cpp
@@ -1,4 +1,4 @@
-// The reducer over calls, their ends and the notices that follow: no sockets, no disk.
+// The reducer on calls, their results and the notices that follow. No sockets, no disk.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace indigosaddle::state {
 namespace {
 
-TEST(Reducer, ACallStartsOnlyAfterItsRecord) {
+TEST(Reducer, CallStartsOnlyAfterItsRecordIsWritten) {
   ReducerDriver driver;
   const Serial serial = driver.Accept("a");
   driver.effects.clear();
@@ -29,12 +29,12 @@
   ASSERT_TRUE(std::holds_alternative<AttemptStarted>(records.back()));
   EXPECT_EQ(std::get<AttemptStarted>(records.back()).zone, "z-3");
   const int writes = driver.writes;
-  driver.Feed(CallConnected{serial});  // it is on record
+  driver.Feed(CallConnected{serial});  // already recorded
   EXPECT_EQ(driver.writes, writes);
 }
 
-// On an idle connection a call begins in its turn: one write holds both.
-TEST(Reducer, ACallOnAnIdleConnectionIsOnRecordAsBegunBeforeItStarts) {
+// On an idle connection a call starts in the turn that decided it: one write holds all of its records.
+TEST(Reducer, CallOnAnIdleConnectionIsRecordedAsStartedBeforeItStarts) {
   ReducerDriver driver;
   const Serial serial = driver.Accept("a");
   driver.effects.clear();
@@ -47,8 +47,9 @@
   EXPECT_EQ(driver.writes, writes + 1);
 }
 
-// What can't be recorded as begun does not begin: it ends as not sent, and the journal is written anew first.
-TEST(Reducer, ACallWhoseRecordFailsHasNotRun) {
+// A call whose AttemptStarted can't be written does not start: it ends as not sent, and the journal is
+// rewritten first.
+TEST(Reducer, CallWhoseRecordCouldNotBeWrittenHasNotRun) {
   ReducerDriver driver;
   const Serial serial = driver.Accept("a");
   driver.Send(serial);
@@ -56,7 +57,7 @@
   driver.Feed(CallConnected{serial});
   EXPECT_TRUE(driver.state.rewrite_due);
   driver.effects.clear();
-  driver.End(serial, AttemptResult::kNotStarted);  // as the pool says it
+  driver.End(serial, AttemptResult::kNotStarted);  // as the call pool reports it
   ASSERT_EQ(driver.All<TellOutcome>().size(), 1u);
   EXPECT_EQ(driver.All<TellOutcome>()[0].outcome.result, Result::kNotSent);
   EXPECT_FALSE(driver.state.pending.at(serial).past.may_have_run);
@@ -65,7 +66,7 @@
   EXPECT_EQ(driver.rewrites, 1);
 }
 
-TEST(Reducer, EachEndingReachesTheModuleAsItsOutcome) {
+TEST(Reducer, EachAttemptResultReachesThePolicyAsItsOutcome) {
   for (int i = 0; i <= static_cast<int>(kLastAttemptResult); ++i) {
     const auto attempt_result = static_cast<AttemptResult>(i);
     ReducerDriver driver;
@@ -84,15 +85,15 @@
     EXPECT_EQ(told[0].outcome.load.limit, 8);
     EXPECT_EQ(driver.state.pending.empty(), MeaningOf(attempt_result).message_done) << NameOf(attempt_result);
     EXPECT_TRUE(driver.All<PostNotices>().empty());
-    driver.End(serial, attempt_result);  // a second end of the same call means nothing
+    driver.End(serial, attempt_result);  // a second end of the same call has no effect
     EXPECT_EQ(driver.All<TellOutcome>().size(), 1u);
   }
 }
 
-// A client's clock runs from its own sending. A delivery in the last moment may have come too late for it,
-// and with no word to the platform such a message was lost: its end is told as well. Earlier ones owe
-// nothing.
-TEST(Reducer, ADeliveryInTheLastMomentIsToldAsWell) {
+// Guards against a message that is lost: its client counts the deadline from its own sending, so a delivery
+// within 50 ms of the deadline may be too late for it, and without a notice nobody learned of that. Earlier
+// deliveries send no notice.
+TEST(Reducer, DeliveryJustBeforeTheDeadlineSendsANoticeToo) {
   for (const Micros before : {Micros(milliseconds(60)), Micros(milliseconds(50)), Micros(0), -Micros(1)}) {
     ReducerDriver driver;
     const Serial serial = driver.Accept("a");
@@ -112,14 +113,14 @@
     }
     EXPECT_EQ(driver.All<PostNotices>()[0].notices.at(0).id, "a");
     EXPECT_EQ(driver.All<PostNotices>()[0].notices.at(0).end, MessageEnd::kFailed);
-    EXPECT_EQ(driver.Restart().All<PostNotices>().size(), 0u);  // with the first turn of the next life
+    EXPECT_EQ(driver.Restart().All<PostNotices>().size(), 0u);  // sent in the first turn of the next process
     driver.Feed(NoticesAccepted{{serial}});
     EXPECT_EQ(driver.All<TellAnswerTold>().size(), 1u);
     EXPECT_TRUE(driver.state.pending.empty());
   }
 }
 
-TEST(Reducer, AnEndAfterTheAnswerIsOneNoticeUntilItIsTaken) {
+TEST(Reducer, EndAfterTheAnswerSendsOneNoticeUntilItIsAccepted) {
   ReducerDriver driver;
   const Serial returned = driver.Accept("a"), failed = driver.Accept("b");
   driver.effects.clear();
@@ -146,7 +147,7 @@
   EXPECT_TRUE(next.All<PostNotices>().empty());
 }
 
-TEST(Reducer, NothingIsSentForAMessageThatIsOver) {
+TEST(Reducer, NoCallStartsForAMessageThatHasEnded) {
   ReducerDriver driver;
   const Serial serial = driver.Accept("a");
   driver.Feed(FailRequested{serial});
@@ -155,7 +156,7 @@
   EXPECT_TRUE(driver.All<StartCall>().empty());
 }
 
-TEST(Reducer, AMessageThatEndedWithItsCallOutStillTellsThatCallsOutcome) {
+TEST(Reducer, MessageThatEndedWithACallInFlightStillReportsItsOutcome) {
   ReducerDriver driver;
   const Serial serial = driver.Accept("a");
   driver.Send(serial);
--- a/tests/state_driver.h
+++ b/tests/state_driver.h
@@ -1,4 +1,4 @@
-// Plays the reducer on recorded events, with the journal on a string. No I/O, no clock.
+// Drives the reducer with events and keeps the journal in a string. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -15,22 +15,24 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+// A message with every field set.
 inline AcceptedMessage SampleMessage(Serial serial, std::string body = "body") {
-  AcceptedMessage t;
-  t.serial = serial;
-  t.id = "id" + std::to_string(serial);
-  t.message_class = "notice";
-  t.tenant = "acme";
-  t.idempotency_key = "k" + std::to_string(serial);
-  t.order_key = "o";
-  t.body = std::move(body);
-  t.destination = 7;
-  t.give_up_at = seconds(20);
-  t.rules = {indigosaddle::Effect::kKeyed, Group::kZone, seconds(7), false};
-  return t;
+  AcceptedMessage message;
+  message.serial = serial;
+  message.id = "id" + std::to_string(serial);
+  message.message_class = "notice";
+  message.tenant = "acme";
+  message.idempotency_key = "k" + std::to_string(serial);
+  message.order_key = "o";
+  message.body = std::move(body);
+  message.destination = 7;
+  message.give_up_at = seconds(20);
+  message.rules = {indigosaddle::Effect::kKeyed, Group::kZone, seconds(7), false};
+  return message;
 }
 
-// Plays events, carries out the journal's effects on a string, and keeps the rest.
+// Feeds events to the reducer, carries out the journal's effects on a string, and keeps the other effects.
+// Starts with one endpoint, s-1 of destination 7, in the list.
 class ReducerDriver {
  public:
   explicit ReducerDriver(std::size_t journal_bytes = 100000, std::size_t most_open = 100)
@@ -42,7 +44,7 @@
     writes = rewrites = 0;
   }
 
-  // An event, with all that follows from it at once.
+  // Handles an event, and the journal's answers to the writes that it causes.
   void Feed(const Event& event) {
     Effects out;
     Reduce(state, event, out);
@@ -55,12 +57,16 @@
       }
       ++writes;
       if (disk_ok && append != nullptr) journal += append->bytes;
-      if (disk_ok && rewrite != nullptr) journal = rewrite->bytes, ++rewrites;
+      if (disk_ok && rewrite != nullptr) {
+        journal = rewrite->bytes;
+        ++rewrites;
+      }
       max_journal_bytes = std::max(max_journal_bytes, journal.size());
       Feed(JournalWritten{disk_ok});
     }
   }
   void EndTurn() { Feed(TurnEnded{}); }
+  // A client's command; the turn goes on.
   void Submit(const std::string& id, std::uint64_t connection = 1, std::string body = "b") {
     ClientMessage e;
     e.may_accept = may_accept;
@@ -69,25 +75,28 @@
     e.message.id = id;
     Feed(e);
   }
-  // Takes a message on, answered and journalled; its serial.
+  // Has a message accepted and written to the journal; returns its serial.
   Serial Accept(const std::string& id) {
     Submit(id);
     EndTurn();
     return state.by_id.at(id);
   }
+  // Starts a call that has no connection yet.
   void Send(Serial serial) {
     Feed(SendRequested{serial, "s-1", seconds(1), seconds(5)});
     EndTurn();
   }
-  // The same, and its connection is up.
+  // Starts a call whose connection comes up.
   void SendAndConnect(Serial serial) {
     Send(serial);
     Feed(CallConnected{serial});
   }
+  // Ends a call.
   void End(Serial serial, AttemptResult attempt_result) {
     Feed(CallEnded{serial, attempt_result, milliseconds(9), {}, {}});
   }
 
+  // All kept effects of one type.
   template <typename T>
   std::vector<T> All() {
     std::vector<T> found;
@@ -96,6 +105,7 @@
     }
     return found;
   }
+  // The same, and forgets all kept effects.
   template <typename T>
   std::vector<T> TakeAll() {
     auto found = All<T>();
@@ -103,7 +113,7 @@
     return found;
   }
 
-  // A second life on what the journal holds.
+  // A new process that has recovered the journal.
   ReducerDriver Restart() const {
     ReducerDriver next;
     next.journal = journal;
@@ -112,12 +122,18 @@
   }
 
   State state;
-  bool may_accept = true;  // whether intake is open
+  // Whether intake is open.
+  bool may_accept = true;
   Effects effects;
   std::string journal;
+  // The longest that the journal has been.
   std::size_t max_journal_bytes = 0;
-  int writes = 0, rewrites = 0;
+  // Journal writes, rewrites included.
+  int writes = 0;
+  int rewrites = 0;
+  // Whether journal writes succeed.
   bool disk_ok = true;
+  // Commands submitted.
   std::uint64_t commands = 0;
 };
 
--- a/tests/state_journal_test.cpp
+++ b/tests/state_journal_test.cpp
@@ -1,4 +1,4 @@
-// How a call can end, and the format of the journal. No I/O.
+// The results of calls, and the format of the journal. No I/O.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -12,7 +12,7 @@
 namespace indigosaddle::state {
 namespace {
 
-TEST(AttemptResult, EachValueHasItsMeaning) {
+TEST(AttemptResult, EachValueMapsToItsResult) {
   const std::vector<std::tuple<AttemptResult, Result, bool>> wanted = {
       {AttemptResult::kDelivered, Result::kOk, true},
       {AttemptResult::kError, Result::kError, false},
@@ -42,7 +42,7 @@
   EXPECT_EQ(names.size(), wanted.size());
 }
 
-TEST(AttemptResult, EachStatusOfTheProtocol) {
+TEST(AttemptResult, EachHttpStatusMapsToItsValue) {
   EXPECT_EQ(AttemptResultOfStatus(200, false), AttemptResult::kDelivered);
   EXPECT_EQ(AttemptResultOfStatus(500, false), AttemptResult::kError);
   EXPECT_EQ(AttemptResultOfStatus(429, false), AttemptResult::kTooManyRequests);
@@ -54,7 +54,7 @@
     EXPECT_EQ(AttemptResultOfStatus(status, false), AttemptResult::kOtherStatus);
 }
 
-TEST(AttemptResult, UnsureMayHaveRun) {
+TEST(AttemptResult, ResultsWithoutProofMayHaveRun) {
   for (Result proven : {Result::kFull, Result::kNoConnection, Result::kNotSent})
     EXPECT_FALSE(MayHaveRun(proven));
   for (Result unsure : {Result::kOk, Result::kError, Result::kTimeout, Result::kReset, Result::kCancelled,
@@ -79,7 +79,7 @@
   return bytes;
 }
 
-TEST(Journal, EveryRecordComesBackAsItWas) {
+TEST(Journal, EveryRecordIsDecodedAsItWasEncoded) {
   const std::vector<Record> records = OneRecordOfEachKind();
   ASSERT_EQ(records.size(), std::variant_size_v<Record>);
   const std::string bytes = Encode(records);
@@ -99,7 +99,7 @@
   EXPECT_EQ(std::get<MessageEnded>(read.records.at(4)).not_before, milliseconds(500));
 }
 
-TEST(Journal, ATornTailLosesOnlyTheLastRecord) {
+TEST(Journal, TornWriteLosesOnlyTheLastRecord) {
   const std::vector<Record> records = OneRecordOfEachKind();
   const std::string whole = Encode(records);
   const std::string before = Encode({records.begin(), records.end() - 1});
@@ -111,7 +111,7 @@
   }
 }
 
-TEST(Journal, AWrongByteIsFoundAnywhere) {
+TEST(Journal, ChangedByteIsFoundAnywhere) {
   const std::string whole = Encode(OneRecordOfEachKind());
   for (std::size_t at = 0; at < whole.size(); ++at) {
     std::string bad = whole;
@@ -122,7 +122,7 @@
   }
 }
 
-TEST(Journal, OtherVersionsAndRubbishYieldNothing) {
+TEST(Journal, OtherVersionsAndInvalidBytesYieldNoRecords) {
   EXPECT_EQ(ParseJournal("").error, "");
   EXPECT_EQ(ParseJournal("rubbish").error, "not a journal");
   std::string newer = JournalHeader();
--- a/tests/state_odd_list_test.cpp
+++ b/tests/state_list_update_test.cpp
@@ -1,4 +1,5 @@
-// List news of which a part is not known, and hosts that change their destination: what the module is told.
+// List updates with unreadable entries, and endpoints that change their destination: what the delivery policy
+// is told.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,7 +10,7 @@
 namespace indigosaddle::state {
 namespace {
 
-std::vector<std::string> Told(ReducerDriver& driver) {
+std::vector<std::string> ToldEntries(ReducerDriver& driver) {
   std::vector<std::string> all;
   for (const TellList& told : driver.TakeAll<TellList>()) {
     for (const Endpoint& e : told.entries) {
@@ -22,34 +23,36 @@
   return all;
 }
 
-using Words = std::vector<std::string>;
+using Entries = std::vector<std::string>;
 
-// Left as it was, an endpoint of which a change could not be read went on getting new messages.
-TEST(OddListNews, AKnownEndpointThatIsUnsureDrainsUntilItsNextEntry) {
+// Guards against new messages to an endpoint whose change could not be read: the entry may have said that it
+// drains.
+TEST(PartialListUpdate, EndpointWithAnUnreadableEntryDrainsUntilItsNextEntry) {
   ReducerDriver driver;
   driver.Feed(ListUpdate{{}, false, {"s-1", "never-listed"}});
-  EXPECT_EQ(Told(driver), Words{"s-1 7 draining"});
+  EXPECT_EQ(ToldEntries(driver), Entries{"s-1 7 draining"});
   driver.Feed(ListUpdate{{}, false, {}});
-  EXPECT_EQ(Told(driver), Words{});
+  EXPECT_EQ(ToldEntries(driver), Entries{});
   driver.Feed(ListUpdate{{{{"s-1", 3, 0, 7, EndpointState::kReady}, "127.0.0.1:1"}}, true, {}});
-  EXPECT_EQ(Told(driver), Words{"s-1 7 ready"});
+  EXPECT_EQ(ToldEntries(driver), Entries{"s-1 7 ready"});
 }
 
-// In a whole list it is gone, as any that the list does not name.
-TEST(OddListNews, InAWholeListAnUnsureEndpointIsNotListed) {
+// In a whole list such an endpoint is gone, as is any that the list does not name.
+TEST(PartialListUpdate, EndpointWithAnUnreadableEntryInAWholeListIsGone) {
   ReducerDriver driver;
   driver.Feed(ListUpdate{{}, true, {"s-1"}});
-  EXPECT_EQ(Told(driver), Words{});
+  EXPECT_EQ(ToldEntries(driver), Entries{});
   EXPECT_EQ(driver.state.endpoints.count("s-1"), 0u);
 }
 
-// Told of its new destination alone, the module kept the endpoint ready for the old one's messages too.
-TEST(OddListNews, AnEndpointThatChangesItsDestinationIsGoneFromTheOldOne) {
+// Guards against calls for the old destination: told of the new destination alone, the delivery policy kept
+// the endpoint ready for the old one's messages too.
+TEST(PartialListUpdate, EndpointThatChangesItsDestinationIsGoneFromTheOldOne) {
   ReducerDriver driver;
   driver.Feed(ListUpdate{{{{"s-1", 3, 0, 8, EndpointState::kReady}, "127.0.0.1:1"}}, false, {}});
-  EXPECT_EQ(Told(driver), (Words{"s-1 7 gone", "s-1 8 ready"}));
+  EXPECT_EQ(ToldEntries(driver), (Entries{"s-1 7 gone", "s-1 8 ready"}));
   driver.Feed(ListUpdate{{{{"s-1", 3, 0, 9, EndpointState::kGone}, ""}}, false, {}});
-  EXPECT_EQ(Told(driver), (Words{"s-1 8 gone", "s-1 9 gone"}));
+  EXPECT_EQ(ToldEntries(driver), (Entries{"s-1 8 gone", "s-1 9 gone"}));
 }
 
 }  // namespace
--- a/tests/state_recent_test.cpp
+++ b/tests/state_repeated_command_test.cpp
@@ -1,4 +1,4 @@
-// Commands that come again once their message is over, and messages whose end is doubted.
+// Commands that come again after their message has ended, and deliveries that are doubted later.
 #include <gtest/gtest.h>
 
 #include "state_driver.h"
@@ -6,7 +6,7 @@
 namespace indigosaddle::state {
 namespace {
 
-class Recent : public ::testing::Test {
+class RepeatedCommand : public ::testing::Test {
  protected:
   void Deliver(const std::string& id) {
     driver.Accept(id);
@@ -32,15 +32,15 @@
   std::uint64_t client = 100;
 };
 
-// Guards against a second run of a message whose command comes again behind its end.
-TEST_F(Recent, ACommandOfADeliveredMessageIsAnsweredAndNotTaken) {
+// Guards against a second effect of a message whose command comes again after its end.
+TEST_F(RepeatedCommand, CommandOfADeliveredMessageIsAnsweredAndNotAcceptedAgain) {
   Deliver("a");
   EXPECT_EQ(driver.state.open(), 0u);
   EXPECT_EQ(AnswerTo("a"), Answer::kAccepted);
   EXPECT_EQ(driver.state.open(), 0u);
 }
 
-TEST_F(Recent, TheSameOverARewriteAndARestart) {
+TEST_F(RepeatedCommand, DeliveredMessageIsRememberedOverARewriteAndARestart) {
   Deliver("a");
   const Serial serial = driver.state.last_serial;
   for (int life = 0; life < 2; ++life) {
@@ -56,7 +56,7 @@
   }
 }
 
-TEST_F(Recent, ItsTimeBoundsIt) {
+TEST_F(RepeatedCommand, MessageIsForgottenAtItsDeadline) {
   Deliver("a");
   driver.state.completed.Forget(seconds(19));
   EXPECT_TRUE(driver.state.completed.Has("a"));
@@ -65,16 +65,17 @@
   EXPECT_EQ(driver.state.completed.bytes(), 0u);
 }
 
-// What is pending goes first: the folder's limit holds.
-TEST_F(Recent, TheJournalBoundsIt) {
+// Pending messages have priority: the journal's limit holds.
+TEST_F(RepeatedCommand, JournalLimitBoundsTheRememberedMessages) {
   for (int i = 0; i < 400; ++i) Deliver("m" + std::to_string(i));
   EXPECT_LE(driver.state.completed.bytes(), 10000u);
   EXPECT_TRUE(driver.state.completed.Has("m399"));
   EXPECT_LE(driver.max_journal_bytes, 100000u);
 }
 
-// Guards against a message that a copied answer ended: its end is told after all, over a restart too.
-TEST_F(Recent, ADoubtedDeliveryIsToldAsFailedOnce) {
+// Guards against a lost message that another call's response ended as delivered: a notice says that it
+// failed, after a restart too.
+TEST_F(RepeatedCommand, DoubtedDeliverySendsOneNotice) {
   Deliver("a");
   const Serial serial = driver.state.last_serial;
   driver.Feed(AnswersDoubted{{serial}});
@@ -96,8 +97,8 @@
   EXPECT_EQ(AnswerTo("a"), Answer::kAccepted);
 }
 
-// Guards against a client that is refused while the same command, read beside it, is taken on.
-TEST_F(Recent, CommandsOfOneTurnWithOneIdHaveOneAnswer) {
+// Guards against a client that is refused while the same command, read in the same turn, is accepted.
+TEST_F(RepeatedCommand, CommandsOfOneTurnWithTheSameIdGetTheSameAnswer) {
   driver.Submit("a", 1);
   driver.Submit("a", 2);
   driver.EndTurn();
@@ -108,7 +109,7 @@
   EXPECT_EQ(driver.state.open(), 1u);
 }
 
-TEST_F(Recent, OneOfThemThatLeavesTakesNothingBack) {
+TEST_F(RepeatedCommand, DisconnectOfOneOfTwoClientsDoesNotWithdrawTheMessage) {
   driver.Submit("a", 1);
   driver.Submit("a", 2);
   driver.Feed(ClientGone{1});
@@ -119,8 +120,8 @@
   EXPECT_EQ(driver.state.open(), 1u);
 }
 
-// Guards against a message that runs at both processes of a hand-over, since its command came to both.
-TEST_F(Recent, ASuccessorWithdrawsWhatTheProcessBeforeItKnows) {
+// Guards against a message that both processes of a hand-over send, since its command came to both.
+TEST_F(RepeatedCommand, SuccessorWithdrawsMessagesThatThePreviousProcessAccepted) {
   Deliver("over");
   driver.Accept("owed");
   ReducerDriver next;
--- a/tests/state_resumption_test.cpp
+++ b/tests/state_resumption_test.cpp
@@ -1,4 +1,4 @@
-// What the next process makes of the journal of one that ended at any instant.
+// Recovery from the journal of a process that ended at any instant.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 namespace indigosaddle::state {
 namespace {
 
-TEST(Resumption, WhatIsOwedComesBackWithItsAttempts) {
+TEST(Resumption, PendingMessagesAreResumedWithTheirAttempts) {
   ReducerDriver driver;
   const Serial untried = driver.Accept("untried"), turned_away = driver.Accept("turned away"),
                out = driver.Accept("out"), error = driver.Accept("error"), over = driver.Accept("over"),
@@ -43,7 +43,7 @@
   EXPECT_EQ(past.at(turned_away).attempts, 1);
   EXPECT_FALSE(past.at(turned_away).may_have_run);
   EXPECT_EQ(past.at(out).attempts, 1);
-  EXPECT_TRUE(past.at(out).may_have_run);  // cut off: nobody knows
+  EXPECT_TRUE(past.at(out).may_have_run);  // cut off: not known
   EXPECT_EQ(past.at(out).first_run, seconds(5));
   EXPECT_EQ(past.at(out).run_zone, 3);
   EXPECT_TRUE(past.at(error).may_have_run);
@@ -52,7 +52,7 @@
   EXPECT_EQ(next.All<PostNotices>()[0].notices.at(0).id, "notice");
   EXPECT_EQ(next.rewrites, 1);
 
-  // And once more, from the rewritten journal: numbers go on, nothing is forgotten.
+  // Once more from the rewritten journal: serials continue, nothing is lost.
   ReducerDriver third = next.Restart();
   past.clear();
   for (const TellMessage& e : third.All<TellMessage>()) {
@@ -66,7 +66,7 @@
   EXPECT_GT(third.Accept("new"), over);
 }
 
-TEST(Resumption, MessagesComeInTheOrderTaken) {
+TEST(Resumption, MessagesAreResumedInTheOrderAccepted) {
   ReducerDriver driver;
   for (int i = 0; i < 20; ++i) driver.Accept("m" + std::to_string(i));
   ReducerDriver next = driver.Restart();
@@ -76,8 +76,8 @@
   EXPECT_TRUE(std::is_sorted(order.begin(), order.end()));
 }
 
-TEST(Resumption, AnyPrefixOfTheJournalIsAStateThatWasPromised) {
-  // Killed at any byte: what was answered before is there, what was over stays over.
+TEST(Resumption, AnyPrefixOfTheJournalKeepsWhatWasAnsweredByThen) {
+  // Killed at any byte: messages that were answered before are there, ended ones stay ended.
   ReducerDriver driver;
   std::vector<std::pair<std::size_t, std::string>> promised;  // journal size from which an id is pending
   for (int i = 0; i < 5; ++i) {
@@ -95,9 +95,9 @@
   }
 }
 
-// A call whose connection was never up has surely not run: after a kill it counts as an attempt and no more.
-// From the instant in which its first byte may leave it may have run.
-TEST(Resumption, ACallThatWaitedForItsConnectionHasNotRun) {
+// A call whose connection never came up has not run: after a kill it only counts as an attempt. From the
+// instant in which its first byte may leave, it may have run.
+TEST(Resumption, CallThatWaitedForItsConnectionHasNotRun) {
   for (const bool begun : {false, true}) {
     ReducerDriver driver;
     const Serial serial = driver.Accept("a");
@@ -106,7 +106,7 @@
     ASSERT_EQ(driver.All<StartCall>().size(), 1u);
     if (begun) driver.Feed(CallConnected{serial});
     ReducerDriver next = driver.Restart();
-    for (int life = 0; life < 2; ++life, next = next.Restart()) {  // the second from a rewritten journal
+    for (int life = 0; life < 2; ++life, next = next.Restart()) {  // the second time from a rewritten journal
       const auto told = next.All<TellMessage>();
       ASSERT_EQ(told.size(), 1u);
       EXPECT_EQ(told[0].message.past.attempts, 1);
@@ -118,7 +118,7 @@
 }
 
 // The same in a journal that was rewritten while the call waited for its connection.
-TEST(Resumption, ARewriteKeepsWhetherACallHasBegun) {
+TEST(Resumption, RewriteKeepsWhetherACallHasStarted) {
   for (const bool begun : {false, true}) {
     ReducerDriver driver;
     const Serial serial = driver.Accept("a");
@@ -150,9 +150,10 @@
   return bytes;
 }
 
-// There an AttemptStarted record may mean that a call waited for its connection, so unsure; and nobody noted
-// the rules of the message nor its zone's name: the strictest bind, and no zone is the one where it ran.
-TEST(Resumption, AJournalOfAnOlderVersionIsReadAndItsMessagesGoByTheStrictest) {
+// In those versions an AttemptStarted record may mean that a call still waited for its connection, so it may
+// have run. The message's rules and the zone's name are not recorded: the strictest rules apply, and the zone
+// is unknown.
+TEST(Resumption, JournalOfAnOlderVersionIsReadWithTheStrictestRules) {
   for (const char version : {'\1', '\2'}) {
     std::string old = "indigosaddle journal ";
     old += std::string({version, '\0', '\0', '\0'}) + FromHex(kOldRecords);
@@ -169,9 +170,9 @@
   }
 }
 
-// Numbers of classes and zones are of one process's settings: what is kept is names and the message's own
+// Numbers of classes and zones differ between settings, so the journal keeps names and the message's own
 // rules.
-TEST(Resumption, OtherSettingsBindNoMessageToOtherRulesOrToAnotherZone) {
+TEST(Resumption, ChangedSettingsChangeNeitherAMessagesRulesNorItsZone) {
   ReducerDriver driver;
   const Serial serial = driver.Accept("a");
   driver.SendAndConnect(serial);
@@ -190,9 +191,9 @@
   EXPECT_EQ(resumed_with({}).message_class, -1);
 }
 
-// Cut at every byte of the record that says that a call begins: up to its last byte the call has not begun,
-// and nothing of it had left.
-TEST(Resumption, CutAtAnyByteOfACallsRecordItHasNotBegun) {
+// Cut at every byte of the AttemptStarted record: unless the record is whole the call has not started, and
+// nothing of it had been sent.
+TEST(Resumption, TornAttemptStartedRecordMeansTheCallHasNotStarted) {
   ReducerDriver driver;
   const Serial serial = driver.Accept("a");
   driver.Feed(SendRequested{serial, "s-1", seconds(1), seconds(5), false});
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -1,4 +1,4 @@
-// The reducer on recorded events: what it tells the module, answers, records and starts.
+// The reducer: what it tells the delivery policy, answers to clients, records and starts.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace indigosaddle::state {
 namespace {
 
-TEST(Reducer, TellsTheModuleAndAnswersOnlyOnceTheJournalHoldsIt) {
+TEST(Reducer, PolicyIsToldAtOnceAndTheClientAnsweredOnlyAfterTheWrite) {
   ReducerDriver driver;
   driver.Submit("a");
   ASSERT_EQ(driver.All<TellMessage>().size(), 1u);
@@ -26,7 +26,7 @@
   EXPECT_EQ(driver.All<Reply>()[0].answer, Answer::kAccepted);
 }
 
-TEST(Reducer, ARefusalOrFailureInTheSameTurnAnswersTheClientAndLeavesNoTrace) {
+TEST(Reducer, ReturnedOrFailedInItsTurnAnswersTheClientAndWritesNothing) {
   ReducerDriver driver;
   driver.Submit("a");
   driver.Feed(ReturnRequested{driver.state.by_id.at("a"), milliseconds(700)});
@@ -43,7 +43,7 @@
   EXPECT_EQ(driver.state.reserved_bytes, 0u);
 }
 
-TEST(Reducer, AClientThatLeavesBeforeItsAnswerWithdraws) {
+TEST(Reducer, ClientThatDisconnectsBeforeItsAnswerWithdrawsItsMessage) {
   ReducerDriver driver;
   driver.Submit("a", 4);
   driver.Submit("b", 5);
@@ -52,13 +52,13 @@
   ASSERT_EQ(driver.All<TellWithdrawn>().size(), 1u);
   EXPECT_FALSE(driver.state.by_id.contains("a"));
   EXPECT_TRUE(driver.state.by_id.contains("b"));
-  driver.Feed(ClientGone{5});  // after its answer: means nothing
+  driver.Feed(ClientGone{5});  // after its answer: has no effect
   driver.EndTurn();
   EXPECT_TRUE(driver.state.by_id.contains("b"));
   EXPECT_EQ(driver.All<TellWithdrawn>().size(), 1u);
 }
 
-TEST(Reducer, TheSameRequestOnceMoreIsAnsweredAndTakenOnce) {
+TEST(Reducer, RepeatedCommandIsAnsweredAndAcceptedOnce) {
   ReducerDriver driver;
   driver.Accept("a");
   driver.effects.clear();
@@ -70,9 +70,9 @@
   EXPECT_EQ(driver.state.open(), 1u);
 }
 
-// Guards against a message that is pending and is handed in twice, since its client was refused once intake
-// was over.
-TEST(Reducer, BehindIntakeWhatIsOwedIsStillTakenAndNothingElse) {
+// Guards against a pending message that is submitted twice because its client was refused once intake was
+// closed.
+TEST(Reducer, ClosedIntakeStillAnswersRepeatedCommandsAndAcceptsNothingNew) {
   ReducerDriver driver;
   driver.Accept("a");
   driver.effects.clear();
@@ -89,7 +89,7 @@
   EXPECT_EQ(driver.state.open(), 1u);
 }
 
-TEST(Reducer, AFullHouseOrAFullJournalTurnsAway) {
+TEST(Reducer, FullMessageLimitOrFullJournalAnswersBusy) {
   ReducerDriver few(100000, 2);
   few.Accept("a");
   few.Accept("b");
@@ -98,15 +98,15 @@
   EXPECT_EQ(few.TakeAll<Reply>().at(0).answer, Answer::kBusy);
 
   ReducerDriver small(20000);
-  int taken = 0;
+  int accepted = 0;
   for (int i = 0; i < 50; ++i) {
     small.Submit("m" + std::to_string(i), 1, std::string(1000, 'x'));
     small.EndTurn();
-    taken += small.TakeAll<Reply>().at(0).answer == Answer::kAccepted ? 1 : 0;
+    accepted += small.TakeAll<Reply>().at(0).answer == Answer::kAccepted ? 1 : 0;
   }
-  EXPECT_GT(taken, 3);
-  EXPECT_LT(taken, 10);
-  // With all of them through, there is room again.
+  EXPECT_GT(accepted, 3);
+  EXPECT_LT(accepted, 10);
+  // Once all of them are delivered, there is room again.
   for (const auto& [id, serial] :
        std::map<std::string, Serial>(small.state.by_id.begin(), small.state.by_id.end())) {
     small.Send(serial);
@@ -119,7 +119,7 @@
   EXPECT_EQ(small.TakeAll<Reply>().at(0).answer, Answer::kAccepted);
 }
 
-TEST(Reducer, TheFolderStaysUnderItsLimitWhileServing) {
+TEST(Reducer, JournalStaysUnderItsLimitWhileServing) {
   constexpr std::size_t kLimit = 12000;
   ReducerDriver driver(kLimit);
   for (int i = 0; i < 400; ++i) {
@@ -134,7 +134,7 @@
       driver.Feed(NoticesAccepted{{serial}});
       driver.EndTurn();
     }
-    // During a rewrite both files stand there, each in whole blocks.
+    // During a rewrite both files exist, each in whole blocks.
     if (driver.rewrites > rewrites) {
       EXPECT_LE(before + driver.journal.size() + 1024, kLimit);
     }
@@ -145,15 +145,15 @@
   EXPECT_EQ(driver.state.reserved_bytes, 0u);
 }
 
-TEST(Reducer, AFailedWriteHandsBackAndStartsNothing) {
+TEST(Reducer, FailedWriteReturnsNewMessagesAndStartsNoCall) {
   ReducerDriver driver;
-  const Serial old = driver.Accept("old");
+  const Serial old_serial = driver.Accept("old");
   driver.effects.clear();
   driver.disk_ok = false;
   driver.Submit("new");
-  const Serial fresh = driver.state.by_id.at("new");
-  driver.Feed(SendRequested{fresh, "s-1", seconds(1), seconds(5)});
-  driver.Feed(SendRequested{old, "s-1", seconds(1), seconds(5)});
+  const Serial new_serial = driver.state.by_id.at("new");
+  driver.Feed(SendRequested{new_serial, "s-1", seconds(1), seconds(5)});
+  driver.Feed(SendRequested{old_serial, "s-1", seconds(1), seconds(5)});
   driver.EndTurn();
   EXPECT_TRUE(driver.All<StartCall>().empty());
   ASSERT_EQ(driver.All<Reply>().size(), 1u);
@@ -165,7 +165,7 @@
   EXPECT_TRUE(driver.state.by_id.contains("old"));
   EXPECT_FALSE(driver.state.by_id.contains("new"));
 
-  driver.disk_ok = true;  // the whole is written anew, since the file may be damaged
+  driver.disk_ok = true;  // the journal is rewritten, since the file may be damaged
   driver.effects.clear();
   driver.Submit("later");
   driver.EndTurn();
@@ -174,7 +174,7 @@
   EXPECT_EQ(driver.Restart().state.by_id.size(), 2u);
 }
 
-TEST(Reducer, ListsReachTheModuleAndTheirAddressesTheCalls) {
+TEST(Reducer, ListsReachThePolicyAndTheirAddressesTheCalls) {
   ReducerDriver driver;
   const Serial serial = driver.Accept("a");
   driver.effects.clear();
@@ -195,7 +195,7 @@
   driver.Feed(ListUpdate{{{{"s-2", 0, 0, 7, EndpointState::kGone}, ""}}, false});
   EXPECT_EQ(driver.All<CloseIdle>().at(0).endpoint, "s-2");
   EXPECT_EQ(driver.state.endpoints.size(), 1u);
-  driver.Feed(ListUpdate{{}, true});  // what is not in it is gone
+  driver.Feed(ListUpdate{{}, true});  // endpoints that are not in it are gone
   EXPECT_TRUE(driver.state.endpoints.empty());
   EXPECT_TRUE(driver.All<TellList>().back().whole);
   driver.Feed(StopRequested{seconds(9)});
