--- a/src/state/reducer_base.h
+++ b/src/state/reducer_base.h
@@ -85,7 +85,7 @@
     return {};
   }
 
-  // Applies the record now and writes it at the end of the turn.
+  // Applies the record now and stages it for the next Commit.
   template <typename T>
   void StageRecord(const T& record) {
     applier_(record);
--- a/tests/state_resumption_test.cpp
+++ b/tests/state_resumption_test.cpp
@@ -135,7 +135,7 @@
   }
 }
 
-// A AcceptedMessage, an AttemptStarted and a AttemptHistory record as the program before version 3 wrote
+// An AcceptedMessage, an AttemptStarted and an AttemptHistory record as the program before version 3 wrote
 // them, with numbers of zones.
 constexpr std::string_view kOldRecords =
     "45000000a5c10eb400010000000000000003000000696431060000006e6f74696365040000006163"
