--- a/src/node/node.h
+++ b/src/node/node.h
@@ -71,7 +71,7 @@
   void OnNoticesTaken(const std::vector<std::uint64_t>& serials) override;
   void OnNoticeUnreadable(std::string_view line) override;
   net::CallPool::StartPermit MayBegin(std::uint64_t serial);
-  static Action CallAction(const state::Owed& owed);  // a first call, or one more
+  static Action CallAction(const state::PendingMessage& owed);  // a first call, or one more
   void OnCallEnded(const net::CallResult& result);
   // What the pool sees on its connections (node_connections.cpp).
   void OnUnasked(const net::UnaskedBytes& unasked) override;
@@ -127,8 +127,8 @@
   void Do(state::TellAnswerTold& e);
   void Do(state::TellOutcome& e);
   void Do(state::TellList& e);
-  void Do(state::TellListLost& e);
-  void Do(state::TellWait& e);
+  void Do(state::TellListWatchLost& e);
+  void Do(state::TellRetryAfter& e);
   void Do(state::TellStop& e);
   void Do(state::TellZoneUnsure& e);
   void Do(state::TellSettings& e);
@@ -143,8 +143,8 @@
   void Do(state::Note& e);
   void Do(state::MessageResumed& e);
   void Do(state::MessageDoubted& e);
-  void Do(state::MessageOver& e);
-  void Count(const state::MessageOver& e, Micros held);
+  void Do(state::MessageFinished& e);
+  void Count(const state::MessageFinished& e, Micros held);
   void LogCall(const net::CallResult& result);
   void LogRuleChanges(const Config& next);
   void SaveRules();
@@ -224,7 +224,7 @@
   bool stepped_in_phase_ = false;
   std::uint64_t passes_since_step_ = 0;  // of the loop, begun behind the first step of a stop in this phase
   Micros now_{0}, wake_at_{0};           // of the last turn; for the next, as the module asked
-  std::array<std::uint64_t, static_cast<std::size_t>(state::kLastEnding) + 1> endings_{};
+  std::array<std::uint64_t, static_cast<std::size_t>(state::kLastAttemptResult) + 1> endings_{};
   std::array<std::uint64_t, net::kClientEnds> client_ends_{};
   std::uint64_t unsure_rules_ = 0;  // messages whose birth several rules may bind
   std::uint64_t taken_ = 0, busy_ = 0, failed_ = 0, delivered_ = 0, returned_ = 0, given_up_ = 0;
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -53,7 +53,7 @@
   for (state::Event& event : std::exchange(events_, {})) {
     auto* message = std::get_if<state::ClientMessage>(&event);
     // Once granted it holds for the turn: its +OK comes behind all of the turn's events.
-    if (message != nullptr) message->may_take = may_take = may_take || May(Action::kAcceptMessage);
+    if (message != nullptr) message->may_accept = may_take = may_take || May(Action::kAcceptMessage);
     Reduce(event);
     // A client that has closed meanwhile has withdrawn, though the loop has not read that yet.
     if (message != nullptr && server_.Gone(message->client.connection)) {
@@ -112,12 +112,12 @@
   brain_->OnList(e.entries, e.whole);
   if (watcher_) watcher_->OnList(e.entries, e.whole);
 }
-void Node::Do(state::TellListLost& e) {
+void Node::Do(state::TellListWatchLost& e) {
   brain_->OnListFailed();
   brain_->OnListOutdated(e.outdated_from);
   if (watcher_) watcher_->OnListFailed(e.outdated_from);
 }
-void Node::Do(state::TellWait& e) {
+void Node::Do(state::TellRetryAfter& e) {
   brain_->OnRetryAfter(e.endpoint, e.wait);
   if (watcher_) watcher_->OnToldWait(e.endpoint, e.wait);
 }
@@ -147,22 +147,22 @@
 
 void Node::Do(state::Reply& e) {
   std::string line = "-ERR failed\r\n";
-  if (e.answer == state::Answer::kTaken) line = "+OK\r\n";
+  if (e.answer == state::Answer::kAccepted) line = "+OK\r\n";
   if (e.answer == state::Answer::kBusy) {
     const auto millis = std::chrono::ceil<milliseconds>(e.not_before).count();
     line = millis > 0 ? fmt::format("-BUSY {}\r\n", millis) : "-BUSY\r\n";
   }
-  if (e.answer == state::Answer::kTaken && e.refusal == state::Refusal::kNone) Did(Action::kAcceptMessage);
-  ++(e.answer == state::Answer::kTaken ? taken_ : e.answer == state::Answer::kBusy ? busy_ : failed_);
-  if (e.answer != state::Answer::kTaken && !e.message_class.empty()) {
+  if (e.answer == state::Answer::kAccepted && e.refusal == state::Refusal::kNone) Did(Action::kAcceptMessage);
+  ++(e.answer == state::Answer::kAccepted ? taken_ : e.answer == state::Answer::kBusy ? busy_ : failed_);
+  if (e.answer != state::Answer::kAccepted && !e.message_class.empty()) {
     ClassFigures& figures = by_class_[e.message_class];
     ++(e.answer == state::Answer::kBusy ? figures.rejected : figures.failed);
   }
-  if (e.answer != state::Answer::kTaken && e.refusal != state::Refusal::kStopping) {
+  if (e.answer != state::Answer::kAccepted && e.refusal != state::Refusal::kStopping) {
     changes_.Count(e.answer == state::Answer::kBusy ? config::Sign::kRefused : config::Sign::kFailed,
                    loop_.Now());
   }
-  if (e.answer != state::Answer::kTaken) {
+  if (e.answer != state::Answer::kAccepted) {
     const char* answer = e.answer == state::Answer::kBusy ? "busy" : "failed";
     log_.Write(base::kRequestRefused, e.id, e.message_class, answer, state::NameOf(e.refusal),
                e.cause ? NameOf(*e.cause) : "");
@@ -171,10 +171,10 @@
 }
 
 void Node::Do(state::StartCall& e) {
-  const auto owed = state_.owed.find(e.serial);
-  if (owed == state_.owed.end() || !May(CallAction(owed->second))) {
+  const auto owed = state_.pending.find(e.serial);
+  if (owed == state_.pending.end() || !May(CallAction(owed->second))) {
     const Micros none(0);
-    return Push(state::CallEnded{e.serial, state::Ending::kNotStarted, none, none, {}, loop_.Now()});
+    return Push(state::CallEnded{e.serial, state::AttemptResult::kNotStarted, none, none, {}, loop_.Now()});
   }
   pool_.Start({e.serial, std::move(e.dial), std::move(e.endpoint), std::move(e.id),
                std::move(e.idempotency_key), std::move(e.body), e.timeout, FirstCallOnly(e.serial)});
@@ -185,7 +185,7 @@
   Did(Action::kSendNotice);
   std::vector<net::NoticeLine> lines;
   for (const state::Notice& notice : e.notices) {
-    lines.push_back({notice.serial, notice.end == state::End::kReturned
+    lines.push_back({notice.serial, notice.end == state::MessageEnd::kReturned
                                         ? net::FormatReturned(notice.id, notice.not_before)
                                         : net::FormatFailed(notice.id)});
   }
@@ -195,35 +195,35 @@
 // The module's decisions, as events of the turn.
 void Node::Send(MessageId id, const EndpointId& endpoint, Micros timeout) {
   if (watcher_) watcher_->Sent(id, endpoint);
-  const auto listed = state_.listed.find(endpoint);
-  const bool connected = listed != state_.listed.end() &&
+  const auto listed = state_.endpoints.find(endpoint);
+  const bool connected = listed != state_.endpoints.end() &&
                          on_idle_[endpoint] < pool_.idle(endpoint, listed->second.dial, FirstCallOnly(id));
   on_idle_[endpoint] += connected ? 1 : 0;
-  decisions_.emplace_back(state::WantsSend{id, endpoint, timeout, now_, connected});
+  decisions_.emplace_back(state::SendRequested{id, endpoint, timeout, now_, connected});
 }
 bool Node::FirstCallOnly(state::Serial serial) const {
-  const auto owed = state_.owed.find(serial);
-  return owed == state_.owed.end() || RequiresFreshConnection(owed->second.taken.rules);
+  const auto owed = state_.pending.find(serial);
+  return owed == state_.pending.end() || RequiresFreshConnection(owed->second.message.rules);
 }
 bool Node::Refuse(MessageId id, Micros not_before, GiveUpCause cause) {
   if (watcher_) watcher_->Refused(id);
-  decisions_.emplace_back(state::WantsRefusal{id, not_before, cause});
+  decisions_.emplace_back(state::ReturnRequested{id, not_before, cause});
   return AnswersItsClient(id);
 }
 bool Node::Fail(MessageId id, GiveUpCause cause) {
   if (watcher_) watcher_->Failed(id);
-  decisions_.emplace_back(state::WantsFailure{id, cause});
+  decisions_.emplace_back(state::FailRequested{id, cause});
   return AnswersItsClient(id);
 }
 // Else the end is a notice, and told once the platform has it.
 bool Node::AnswersItsClient(state::Serial serial) const {
-  const auto owed = state_.owed.find(serial);
-  return owed != state_.owed.end() && owed->second.unanswered.has_value();
+  const auto owed = state_.pending.find(serial);
+  return owed != state_.pending.end() && owed->second.waiting_client.has_value();
 }
-void Node::SetTimer(Micros at) { decisions_.emplace_back(state::WantsTimer{at}); }
-void Node::Watch() { decisions_.emplace_back(state::WantsWatch{}); }
+void Node::SetTimer(Micros at) { decisions_.emplace_back(state::TimerRequested{at}); }
+void Node::Watch() { decisions_.emplace_back(state::WatchRequested{}); }
 void Node::CloseIdle(const EndpointId& endpoint) {
-  decisions_.emplace_back(state::WantsIdleClosed{endpoint});
+  decisions_.emplace_back(state::CloseIdleRequested{endpoint});
 }
 
 }  // namespace indigosaddle::node
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -5,138 +5,142 @@
 #include <set>
 #include <utility>
 
-#include "state/list_news.h"
+#include "state/list_update.h"
 #include "state/repeated_commands.h"
 
 namespace indigosaddle::state {
 namespace {
 
-// How well a message's time is known here: its client counts it from when it sent the first byte, over a way
-// that takes as long as it takes.
-constexpr Micros kTimeDoubt = std::chrono::milliseconds(50);
+// How uncertain a message's deadline is here: its client counts from when it sent the first byte, and the
+// time on the network is not known.
+constexpr Micros kClientClockUncertainty = std::chrono::milliseconds(50);
 
 class Reducer : private RepeatedCommands {
  public:
   using RepeatedCommands::RepeatedCommands;
 
-  // At the start, and again where a successor takes over what the process before it left: only what the
-  // records bring is resumed, for messages that this process took are its own.
+  // At the start, and again where a successor takes over the journal of the process before it. Only the
+  // messages of the records are resumed: those that this process accepted are already known.
   void operator()(const Recovered& e) {
-    state_.last_serial = std::max(state_.last_serial, e.numbered_past);
-    state_.heard_at = std::max(state_.heard_at, e.now);
+    state_.last_serial = std::max(state_.last_serial, e.min_last_serial);
+    state_.last_command_at = std::max(state_.last_command_at, e.now);
     std::set<Serial> before;
-    for (const auto& [serial, owed] : state_.owed) before.insert(serial);
-    for (const Record& record : e.records) std::visit(keep_, record);
-    WithdrawTwins(before);
+    for (const auto& [serial, pending] : state_.pending) before.insert(serial);
+    for (const Record& record : e.records) std::visit(applier_, record);
+    WithdrawDuplicates(before);
     std::vector<Serial> serials;
-    for (const auto& [serial, owed] : state_.owed) {
+    for (const auto& [serial, pending] : state_.pending) {
       if (!before.contains(serial)) serials.push_back(serial);
     }
     int resumed = 0;
     for (Serial serial : serials) {
-      Owed& owed = state_.owed.at(serial);
-      // Cut off: it may have run, unless its connection was never up.
-      if (owed.out) keep_(Settled{serial, owed.connecting ? Result::kNoConnection : Result::kReset});
-      if (e.unsure.contains(serial)) keep_.Doubt(owed);
-      if (!owed.ended) {
+      PendingMessage& pending = state_.pending.at(serial);
+      // The call was cut off by the end of the process: it may have run, unless its connection never came up.
+      if (pending.in_flight)
+        applier_(AttemptFinished{serial, pending.connecting ? Result::kNoConnection : Result::kReset});
+      if (e.in_doubt.contains(serial)) applier_.MarkInDoubt(pending);
+      if (!pending.ended) {
         ++resumed;
-        const Taken& taken = owed.taken;
+        const AcceptedMessage& message = pending.message;
         effects_.emplace_back(
-            MessageResumed{taken.id, taken.destination, taken.rules, owed.past, taken.give_up_at});
+            MessageResumed{message.id, message.destination, message.rules, pending.past, message.give_up_at});
       }
-      // Of what is over the module hears only where its key waits for the notice.
-      if (!owed.ended || (state_.notices.contains(serial) && !owed.taken.order_key.empty()))
-        effects_.emplace_back(TellMessage{ForModule(owed)});
-      keep_.Drop(serial);
+      // Of ended messages the delivery policy is told only those whose order key waits for the notice.
+      if (!pending.ended || (state_.notices.contains(serial) && !pending.message.order_key.empty()))
+        effects_.emplace_back(TellMessage{ToPolicyMessage(pending)});
+      applier_.RemoveIfDone(serial);
     }
-    state_.recent.Forget(state_.heard_at);
+    state_.completed.Forget(state_.last_command_at);
     state_.rewrite_due = true;
     effects_.emplace_back(Note{"resumed " + std::to_string(resumed) + " messages, " +
                                std::to_string(state_.notices.size()) + " notices"});
   }
 
   void operator()(const ClientMessage& e) {
-    state_.heard_at = std::max(state_.heard_at, e.at);
-    state_.recent.Forget(state_.heard_at);
-    state_.refusals.Forget(state_.heard_at);
-    if (SameOnceMore(e)) return;
-    if (!e.may_take) return Answer_(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kStopping);
-    const std::size_t room = RecordBytes(e.message) + kLaterRecords;
+    state_.last_command_at = std::max(state_.last_command_at, e.at);
+    state_.completed.Forget(state_.last_command_at);
+    state_.refusals.Forget(state_.last_command_at);
+    if (AnswerRepeated(e)) return;
+    if (!e.may_accept) return ReplyTo(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kStopping);
+    const std::size_t bytes = RecordSize(e.message) + kReservedForLaterRecords;
     const bool full = state_.limits.most_open > 0 && state_.open() >= state_.limits.most_open;
-    if (full || state_.room + room > state_.limits.journal_bytes * kOwedOfJournal / 100) {
-      return Answer_(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kNoRoom);
+    if (full || state_.reserved_bytes + bytes > state_.limits.journal_bytes * kPendingJournalPercent / 100) {
+      return ReplyTo(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kNoRoom);
     }
-    Taken taken = e.message;
-    taken.serial = ++state_.last_serial;
-    keep_(taken);
-    Owed& owed = state_.owed.at(taken.serial);
-    owed.unanswered = e.client;
-    owed.taken_at = e.at;
-    state_.fresh.push_back(taken.serial);
-    effects_.emplace_back(TellMessage{ForModule(owed)});
+    AcceptedMessage message = e.message;
+    message.serial = ++state_.last_serial;
+    applier_(message);
+    PendingMessage& pending = state_.pending.at(message.serial);
+    pending.waiting_client = e.client;
+    pending.accepted_at = e.at;
+    state_.accepted_in_turn.push_back(message.serial);
+    effects_.emplace_back(TellMessage{ToPolicyMessage(pending)});
   }
 
   void operator()(const ClientGone& e) {
-    for (Serial serial : std::vector<Serial>(state_.fresh)) {
-      const Owed& owed = state_.owed.at(serial);
-      if (!owed.unanswered || !Leaves(state_.owed.at(serial), e.connection)) continue;
+    for (Serial serial : std::vector<Serial>(state_.accepted_in_turn)) {
+      const PendingMessage& pending = state_.pending.at(serial);
+      if (!pending.waiting_client || !RemoveClient(state_.pending.at(serial), e.connection)) continue;
       effects_.emplace_back(TellWithdrawn{serial});
       Forget(serial);
     }
   }
 
-  void operator()(const ListNews& e) { TakeList(state_.listed, e, effects_); }
-  void operator()(const ListLost& e) { effects_.emplace_back(TellListLost{e.outdated_from}); }
+  void operator()(const ListUpdate& e) { ApplyListUpdate(state_.endpoints, e, effects_); }
+  void operator()(const ListWatchLost& e) { effects_.emplace_back(TellListWatchLost{e.outdated_from}); }
 
   void operator()(const CallEnded& e) {
-    Owed* owed = keep_.Find(e.serial);
-    if (owed == nullptr || !owed->out) return;
-    const Meaning meaning = MeaningOf(e.ending);
+    PendingMessage* pending = applier_.Find(e.serial);
+    if (pending == nullptr || !pending->in_flight) return;
+    const AttemptMeaning meaning = MeaningOf(e.attempt_result);
     Outcome outcome;
     outcome.id = e.serial;
-    outcome.attempt = owed->attempts_made - 1;
-    outcome.endpoint = owed->endpoint;
+    outcome.attempt = pending->attempts_made - 1;
+    outcome.endpoint = pending->endpoint;
     outcome.result = meaning.result;
     outcome.latency = e.latency;
-    outcome.last = meaning.over || owed->ended;
-    // An answer in the last moment may have come too late for its client, whose clock began before: the end
-    // is told as well, which does no harm where it was in time.
-    outcome.answer_pending =
-        meaning.result == Result::kOk && e.at >= owed->taken.give_up_at - kTimeDoubt && !owed->ended;
+    outcome.last = meaning.message_done || pending->ended;
+    // A response just before the deadline may be too late for the client, whose clock started earlier: a
+    // notice is sent as well, which does no harm where the response was in time.
+    outcome.answer_pending = meaning.result == Result::kOk &&
+                             e.at >= pending->message.give_up_at - kClientClockUncertainty && !pending->ended;
     outcome.wait = e.wait;
     outcome.load = e.load;
     effects_.emplace_back(TellOutcome{outcome});
-    Record_(Settled{e.serial, meaning.result});
-    if (meaning.over) {
-      if (!owed->ended) SayOver(*owed, meaning.result == Result::kOk ? Over::kDelivered : Over::kWithdrawn);
-      Record_(Ended{e.serial, outcome.answer_pending ? End::kFailed : End::kNothingOwed, Micros(0)});
+    StageRecord(AttemptFinished{e.serial, meaning.result});
+    if (meaning.message_done) {
+      if (!pending->ended)
+        ReportEnd(*pending,
+                  meaning.result == Result::kOk ? MessageResult::kDelivered : MessageResult::kWithdrawn);
+      StageRecord(MessageEnded{e.serial, outcome.answer_pending ? MessageEnd::kFailed : MessageEnd::kNoNotice,
+                               Micros(0)});
     }
-    keep_.Drop(e.serial);
+    applier_.RemoveIfDone(e.serial);
   }
 
-  void operator()(const WaitTold& e) { effects_.emplace_back(TellWait{e.endpoint, e.wait}); }
+  void operator()(const RetryAfterReceived& e) { effects_.emplace_back(TellRetryAfter{e.endpoint, e.wait}); }
 
-  // The end is told after all: that does no harm where the answer was the message's own.
+  // A notice is sent after all: it does no harm where the response was the message's own.
   void operator()(const AnswersDoubted& e) {
     for (Serial serial : e.serials) {
-      const RecentEnds::Entry* entry = state_.recent.Find(serial);
-      if (entry == nullptr || entry->end != End::kNothingOwed) continue;
-      effects_.emplace_back(MessageDoubted{entry->taken.id});
-      Record_(Ended{serial, End::kFailed, Micros(0)});
+      const CompletedMessages::Entry* entry = state_.completed.Find(serial);
+      if (entry == nullptr || entry->end != MessageEnd::kNoNotice) continue;
+      effects_.emplace_back(MessageDoubted{entry->message.id});
+      StageRecord(MessageEnded{serial, MessageEnd::kFailed, Micros(0)});
     }
   }
 
-  void operator()(const NoticesTaken& e) {
-    state_.notices_out = false;
+  void operator()(const NoticesAccepted& e) {
+    state_.notices_in_flight = false;
     for (Serial serial : e.serials) {
       if (!state_.notices.contains(serial)) continue;
-      Record_(Noticed{serial});
+      StageRecord(NoticeAccepted{serial});
       effects_.emplace_back(TellAnswerTold{serial});
-      keep_.Drop(serial);
+      applier_.RemoveIfDone(serial);
     }
   }
 
-  void operator()(const StopAsked& e) { effects_.emplace_back(TellStop{e.ends_at}); }
+  void operator()(const StopRequested& e) { effects_.emplace_back(TellStop{e.ends_at}); }
 
   void operator()(const SettingsChanged& e) {
     state_.limits.most_open = e.most_open;
@@ -145,50 +149,52 @@
     effects_.emplace_back(TellSettings{e.settings});
   }
 
-  void operator()(const WantsSend& e) {
-    Owed* owed = keep_.Find(e.serial);
-    const auto listed = state_.listed.find(e.endpoint);
-    if (owed == nullptr || owed->ended || owed->out || listed == state_.listed.end()) return;
+  void operator()(const SendRequested& e) {
+    PendingMessage* pending = applier_.Find(e.serial);
+    const auto listed = state_.endpoints.find(e.endpoint);
+    if (pending == nullptr || pending->ended || pending->in_flight || listed == state_.endpoints.end())
+      return;
     const std::string zone = ZoneName(listed->second.endpoint.zone);
     if (e.connected) {
-      Record_(Attempted{e.serial, e.endpoint, zone, e.now});
+      StageRecord(AttemptStarted{e.serial, e.endpoint, zone, e.now});
     } else {
-      Record_(Connecting{e.serial, e.endpoint, zone, e.now});
+      StageRecord(AttemptConnecting{e.serial, e.endpoint, zone, e.now});
     }
-    ++owed->attempts_made;
-    const Taken& t = owed->taken;
-    state_.after_write.emplace_back(
-        StartCall{e.serial, e.endpoint, listed->second.dial, t.id, t.idempotency_key, t.body, e.timeout});
+    ++pending->attempts_made;
+    const AcceptedMessage& message = pending->message;
+    state_.after_write.emplace_back(StartCall{e.serial, e.endpoint, listed->second.dial, message.id,
+                                              message.idempotency_key, message.body, e.timeout});
   }
 
-  void operator()(const WantsRefusal& e) { Finish(e.serial, End::kReturned, e.not_before, e.cause); }
-  void operator()(const WantsFailure& e) { Finish(e.serial, End::kFailed, Micros(0), e.cause); }
-  void operator()(const WantsTimer& e) { effects_.emplace_back(ArmTimer{e.at}); }
-  void operator()(const WantsWatch&) { effects_.emplace_back(RenewWatch{}); }
-  void operator()(const WantsIdleClosed& e) { effects_.emplace_back(CloseIdle{e.endpoint}); }
-
-  // Between turns, or where a turn's calls start: nothing else is staged then, unless the file is in doubt.
-  void operator()(const CallBegins& e) {
-    Owed* owed = keep_.Find(e.serial);
-    if (owed == nullptr || !owed->connecting || state_.rewrite_due) return;
-    Record_(Attempted{e.serial, owed->endpoint, owed->out_zone, owed->sent});
+  void operator()(const ReturnRequested& e) { End(e.serial, MessageEnd::kReturned, e.not_before, e.cause); }
+  void operator()(const FailRequested& e) { End(e.serial, MessageEnd::kFailed, Micros(0), e.cause); }
+  void operator()(const TimerRequested& e) { effects_.emplace_back(ArmTimer{e.at}); }
+  void operator()(const WatchRequested&) { effects_.emplace_back(RenewWatch{}); }
+  void operator()(const CloseIdleRequested& e) { effects_.emplace_back(CloseIdle{e.endpoint}); }
+
+  // Comes between turns or as a turn's calls start: nothing else is staged then, unless a rewrite is due.
+  void operator()(const CallConnected& e) {
+    PendingMessage* pending = applier_.Find(e.serial);
+    if (pending == nullptr || !pending->connecting || state_.rewrite_due) return;
+    StageRecord(AttemptStarted{e.serial, pending->endpoint, pending->attempt_zone, pending->attempt_at});
     Commit({});
   }
 
-  // Taken records come first: what else this turn recorded may speak of these messages. So do their replies:
-  // a process that is killed behind a call's first byte has told its client that the message is taken on.
+  // AcceptedMessage records come first, since the other records of this turn may refer to these messages.
+  // Their replies come first among the effects: when a process is killed behind the first byte of a call, the
+  // client has been told that the message is accepted.
   void operator()(const TurnEnded&) {
     std::string bytes;
     Effects replies;
-    for (Serial serial : state_.fresh) {
-      Owed& owed = state_.owed.at(serial);
-      AppendRecord(bytes, owed.taken);
+    for (Serial serial : state_.accepted_in_turn) {
+      PendingMessage& pending = state_.pending.at(serial);
+      AppendRecord(bytes, pending.message);
       const auto reply = [&](const ClientRef& client, Refusal refusal) {
-        replies.emplace_back(Reply{client, Answer::kTaken, Micros(0), owed.taken.id, owed.taken.message_class,
-                                   refusal, std::nullopt});
+        replies.emplace_back(Reply{client, Answer::kAccepted, Micros(0), pending.message.id,
+                                   pending.message.message_class, refusal, std::nullopt});
       };
-      reply(*owed.unanswered, Refusal::kNone);
-      for (const ClientRef& copy : owed.copies) reply(copy, Refusal::kSameId);
+      reply(*pending.waiting_client, Refusal::kNone);
+      for (const ClientRef& duplicate : pending.duplicates) reply(duplicate, Refusal::kSameId);
     }
     auto& after_write = state_.after_write;
     after_write.insert(after_write.begin(), std::make_move_iterator(replies.begin()),
@@ -199,23 +205,23 @@
   void operator()(const JournalWritten& e) {
     if (e.ok) {
       state_.rewrite_due = false;
-      return Release();
+      return ReleaseAfterWrite();
     }
-    // Nothing that needed these records may happen: messages are handed back, calls do not start. What the
-    // file holds is in doubt, so the next turn writes it anew.
+    // Nothing that needed these records may happen: messages are returned, calls do not start. What the file
+    // holds is not known, so the next turn rewrites it.
     state_.rewrite_due = true;
-    for (Serial serial : std::vector<Serial>(state_.fresh)) {
-      const Owed& owed = state_.owed.at(serial);
-      AnswerAll(owed, Answer::kBusy, Micros(0), Refusal::kNotWritten);
+    for (Serial serial : std::vector<Serial>(state_.accepted_in_turn)) {
+      const PendingMessage& pending = state_.pending.at(serial);
+      AnswerAll(pending, Answer::kBusy, Micros(0), Refusal::kNotWritten);
       effects_.emplace_back(TellWithdrawn{serial});
-      // A send of this turn is over for the module as well, before its message is forgotten.
-      if (state_.owed.at(serial).out)
-        (*this)(CallEnded{serial, Ending::kNotStarted, Micros(0), Micros(0), {}});
+      // The delivery policy is told that an attempt of this turn has ended before its message is removed.
+      if (state_.pending.at(serial).in_flight)
+        (*this)(CallEnded{serial, AttemptResult::kNotStarted, Micros(0), Micros(0), {}});
       Forget(serial);
     }
     for (Effect& effect : std::exchange(state_.after_write, {})) {
       if (const auto* call = std::get_if<StartCall>(&effect)) {
-        (*this)(CallEnded{call->serial, Ending::kNotStarted, Micros(0), Micros(0), {}});
+        (*this)(CallEnded{call->serial, AttemptResult::kNotStarted, Micros(0), Micros(0), {}});
       } else if (std::holds_alternative<CloseIdle>(effect)) {
         effects_.push_back(std::move(effect));
       }
--- /dev/null
+++ b/tests/state_list_update_test.cpp
@@ -0,0 +1,59 @@
+// List updates with unreadable entries, and endpoints that change their destination: what the delivery policy
+// is told.
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+#include "state_driver.h"
+
+namespace indigosaddle::state {
+namespace {
+
+std::vector<std::string> ToldEntries(ReducerDriver& driver) {
+  std::vector<std::string> all;
+  for (const TellList& told : driver.TakeAll<TellList>()) {
+    for (const Endpoint& e : told.entries) {
+      all.push_back(e.id + " " + std::to_string(e.destination) + " " +
+                    (e.state == EndpointState::kReady      ? "ready"
+                     : e.state == EndpointState::kDraining ? "draining"
+                                                           : "gone"));
+    }
+  }
+  return all;
+}
+
+using Entries = std::vector<std::string>;
+
+// Guards against new messages to an endpoint whose change could not be read: the entry may have said that it
+// drains.
+TEST(PartialListUpdate, EndpointWithAnUnreadableEntryDrainsUntilItsNextEntry) {
+  ReducerDriver driver;
+  driver.Feed(ListUpdate{{}, false, {"s-1", "never-listed"}});
+  EXPECT_EQ(ToldEntries(driver), Entries{"s-1 7 draining"});
+  driver.Feed(ListUpdate{{}, false, {}});
+  EXPECT_EQ(ToldEntries(driver), Entries{});
+  driver.Feed(ListUpdate{{{{"s-1", 3, 0, 7, EndpointState::kReady}, "127.0.0.1:1"}}, true, {}});
+  EXPECT_EQ(ToldEntries(driver), Entries{"s-1 7 ready"});
+}
+
+// In a whole list such an endpoint is gone, as is any that the list does not name.
+TEST(PartialListUpdate, EndpointWithAnUnreadableEntryInAWholeListIsGone) {
+  ReducerDriver driver;
+  driver.Feed(ListUpdate{{}, true, {"s-1"}});
+  EXPECT_EQ(ToldEntries(driver), Entries{});
+  EXPECT_EQ(driver.state.endpoints.count("s-1"), 0u);
+}
+
+// Guards against calls for the old destination: told of the new destination alone, the delivery policy kept
+// the endpoint ready for the old one's messages too.
+TEST(PartialListUpdate, EndpointThatChangesItsDestinationIsGoneFromTheOldOne) {
+  ReducerDriver driver;
+  driver.Feed(ListUpdate{{{{"s-1", 3, 0, 8, EndpointState::kReady}, "127.0.0.1:1"}}, false, {}});
+  EXPECT_EQ(ToldEntries(driver), (Entries{"s-1 7 gone", "s-1 8 ready"}));
+  driver.Feed(ListUpdate{{{{"s-1", 3, 0, 9, EndpointState::kGone}, ""}}, false, {}});
+  EXPECT_EQ(ToldEntries(driver), (Entries{"s-1 8 gone", "s-1 9 gone"}));
+}
+
+}  // namespace
+}  // namespace indigosaddle::state
