--- a/benchmarks/snapshot_benchmark.cpp
+++ b/benchmarks/snapshot_benchmark.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-using indigosaddle::fleet::Published;
+using indigosaddle::fleet::PublishedSnapshot;
 using indigosaddle::fleet::Snapshot;
 
 std::unique_ptr<Snapshot> Make(std::uint64_t number) {
@@ -48,11 +48,11 @@
 
 // One look a request.
 void ReadCopyUpdate(benchmark::State& state) {
-  Published published;
-  const Published::Reader reader(published);
+  PublishedSnapshot published;
+  const PublishedSnapshot::Reader reader(published);
   const Writer writer([&](std::uint64_t number) { published.Publish(Make(number)); });
   for (auto _ : state) {
-    const Published::Reader::Look look(reader);
+    const PublishedSnapshot::Reader::ReadSection look(reader);
     benchmark::DoNotOptimize(look.get().members.data());
   }
 }
@@ -60,11 +60,11 @@
 
 // A turn of the node's loop takes one look for all its requests: here 16.
 void ReadCopyUpdateATurnOf16(benchmark::State& state) {
-  Published published;
-  const Published::Reader reader(published);
+  PublishedSnapshot published;
+  const PublishedSnapshot::Reader reader(published);
   const Writer writer([&](std::uint64_t number) { published.Publish(Make(number)); });
   while (state.KeepRunningBatch(16)) {
-    const Published::Reader::Look look(reader);
+    const PublishedSnapshot::Reader::ReadSection look(reader);
     for (int i = 0; i < 16; ++i) benchmark::DoNotOptimize(look.get().members.data());
   }
 }
--- a/src/fleet/acceptor.cpp
+++ b/src/fleet/acceptor.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 // A lease that an earlier process of this voter accepted in its last instant ends a term later by this clock.
-Acceptor::Acceptor(std::vector<std::string> others, const Pace& pace, Memory memory, Micros now)
+Acceptor::Acceptor(std::vector<std::string> others, const Timing& pace, Memory memory, Micros now)
     : others_(std::move(others)),
       term_(pace.lease),
       memory_(std::move(memory)),
--- a/src/fleet/acceptor.h
+++ b/src/fleet/acceptor.h
@@ -25,7 +25,7 @@
 class Acceptor {
  public:
   // `others`: the voters but this one.
-  Acceptor(std::vector<std::string> others, const Pace& pace, Memory memory, Micros now);
+  Acceptor(std::vector<std::string> others, const Timing& pace, Memory memory, Micros now);
 
   // The answer to a proposer, or nothing where this voter must be silent. `remember` is set where memory()
   // has to be on the disk before the answer leaves.
--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -35,7 +35,7 @@
   return origin_ + std::chrono::duration_cast<Micros>(std::chrono::duration<double>(raw - origin_) * rate_);
 }
 
-Agent::Agent(AgentOptions options, Published& published, std::function<void()> told)
+Agent::Agent(AgentOptions options, PublishedSnapshot& published, std::function<void()> told)
     : options_(std::move(options)),
       published_(published),
       told_(std::move(told)),
@@ -46,13 +46,14 @@
   FleetOptions fleet;
   fleet.name = options_.name;
   fleet.roster = options_.roster;
-  fleet.pace = options_.pace;
+  fleet.pace = options_.timing;
   fleet.sites = options_.sites;
   fleet.seed = options_.seed;
   fleet.floor = WallMillis() / 1000;
   std::string trouble;
   if (!file_.Read(fleet.memory, trouble) && !trouble.empty())
-    notes_.Put({Note::Kind::kTrouble, "fleet.memory " + trouble + "; the other voters are asked", "", 0});
+    notes_.Put(
+        {FleetEvent::Kind::kTrouble, "fleet.memory " + trouble + "; the other voters are asked", "", 0});
   fleet.start = fleet.memory.start = std::max(fleet.memory.start + 1, WallMillis());
   if (!file_.Write(fleet.memory)) return "the state folder takes no fleet.memory";
   fleet_ = std::make_unique<Fleet>(std::move(fleet), clock_.Now());
@@ -98,7 +99,7 @@
 
 void Agent::Tick() {
   Out out;
-  fleet_->SetTraits(list_, clients_);
+  fleet_->SetLocalConditions(list_, clients_);
   fleet_->Tick(clock_.Now(), out);
   Carry(out);
   Arm();
@@ -110,7 +111,7 @@
     may_promise = file_.Write(fleet_->memory());
     if (may_promise == memory_fails_) {
       memory_fails_ = !may_promise;
-      notes_.Put({Note::Kind::kTrouble,
+      notes_.Put({FleetEvent::Kind::kTrouble,
                   may_promise ? "fleet.memory can be written again"
                               : "fleet.memory can't be written; this voter is silent",
                   "", 0});
@@ -127,7 +128,7 @@
   view.number = shown_.number;
   if (view == shown_) return;
   ++view.number;
-  for (Note& note : Notes(shown_, view)) notes_.Put(std::move(note));
+  for (FleetEvent& note : Notes(shown_, view)) notes_.Put(std::move(note));
   shown_ = view;
   published_.Publish(std::make_unique<const Snapshot>(std::move(view)));
   told_();
--- a/src/fleet/agent.h
+++ b/src/fleet/agent.h
@@ -9,12 +9,12 @@
 #include <thread>
 #include <vector>
 
-#include "fleet/endpoint.h"
 #include "fleet/fleet.h"
+#include "fleet/fleet_events.h"
 #include "fleet/mailbox.h"
 #include "fleet/memory_file.h"
-#include "fleet/notes.h"
 #include "fleet/published.h"
+#include "fleet/transport.h"
 #include "net/loop.h"
 #include "net/wakeup.h"
 
@@ -36,7 +36,7 @@
 struct AgentOptions {
   std::string name, listen, folder;
   std::vector<Peer> roster;
-  Pace pace;
+  Timing pace;
   SiteRules sites;
   std::uint64_t seed = 0;
   double clock_rate = 1;
@@ -45,15 +45,15 @@
 class Agent : private Endpoint::Handler {
  public:
   // `told` is called on the agent's thread, after a snapshot or notes have come.
-  Agent(AgentOptions options, Published& published, std::function<void()> told);
+  Agent(AgentOptions options, PublishedSnapshot& published, std::function<void()> told);
   ~Agent() override;  // leaves the fleet and ends the thread
   Agent(const Agent&) = delete;
   Agent& operator=(const Agent&) = delete;
 
   std::string Start();  // why it can't; empty: the thread runs
   // From any thread.
-  void SetTraits(bool list, bool clients) { list_ = list, clients_ = clients; }  // see Fleet
-  std::vector<Note> TakeNotes() { return notes_.TakeAll(); }
+  void SetLocalConditions(bool list, bool clients) { list_ = list, clients_ = clients; }  // see Fleet
+  std::vector<FleetEvent> TakeEvents() { return notes_.TakeAll(); }
   const Counters& counters() const { return counters_; }
   const SteadyClock& clock() const { return clock_; }
 
@@ -67,12 +67,12 @@
   void Close();
 
   const AgentOptions options_;
-  Published& published_;
+  PublishedSnapshot& published_;
   const std::function<void()> told_;
   const SteadyClock clock_;
   const MemoryFile file_;
   Counters counters_;
-  Mailbox<Note> notes_;
+  Mailbox<FleetEvent> notes_;
   Snapshot shown_;
   Micros show_at_{0};
   bool memory_fails_ = false;
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -24,12 +24,12 @@
 #include <vector>
 
 #include "fleet/acceptor.h"
-#include "fleet/contact.h"
 #include "fleet/facts.h"
 #include "fleet/gossip.h"
 #include "fleet/members.h"
 #include "fleet/prober.h"
 #include "fleet/proposer.h"
+#include "fleet/quorum_contact.h"
 #include "fleet/sites.h"
 #include "fleet/snapshot.h"
 
@@ -43,7 +43,7 @@
   std::string name;
   std::uint64_t start = 1;   // over that of every earlier process of the name, as far as is known
   std::vector<Peer> roster;  // with this one
-  Pace pace;
+  Timing pace;
   SiteRules sites;
   std::uint64_t seed = 0;
   Memory memory;
@@ -58,7 +58,7 @@
   Micros NextDue() const;
   void OnPacket(const Packet& packet, Micros now, Out& out);
   // What of this process others are told: whether discovery's watch stands, whether clients are there.
-  void SetTraits(bool list, bool clients);
+  void SetLocalConditions(bool list, bool clients);
   Packet ExchangeWord(bool answer) const;  // all that is known
   void Leave(Micros now, Out& out);        // tells some others, and gives leases back
 
@@ -66,7 +66,7 @@
   Snapshot View(Micros now) const;
   // Parts of it.
   std::map<std::string, LeaseView> Leases(Micros now) const;
-  std::map<std::string, SiteWord> SitesAgreed() const;
+  std::map<std::string, SiteStatus> SitesAgreed() const;
   std::size_t present() const { return members_.present(); }
   const Memory& memory() const { return acceptor_.memory(); }
 
--- a/src/fleet/fleet_agreed.cpp
+++ b/src/fleet/fleet_agreed.cpp
@@ -107,13 +107,13 @@
 Snapshot Fleet::View(Micros now) const {
   Snapshot view;
   view.sure = contact_.Sure(now);
-  view.standing = touched_ && InTouch(now) && Refreshed() ? Standing::kConnected
-                  : reached_                              ? Standing::kCutOff
-                                                          : Standing::kJoining;
+  view.connectivity = touched_ && InTouch(now) && Refreshed() ? Standing::kConnected
+                      : reached_                              ? Standing::kCutOff
+                                                              : Standing::kJoining;
   view.present = members_.present();
   view.superseded = members_.superseded();
   view.files_differ = FilesDiffer(now);
-  view.strain = prober_.strain();
+  view.health_penalty = prober_.health_penalty();
   const Fact* fact = facts_.Find(kSendersFact);
   const auto agreed = fact != nullptr ? ParseSenders(fact->value) : std::nullopt;
   if (agreed && reached_) view.senders = std::max(*agreed, view.present);
--- a/src/fleet/notes.cpp
+++ b/src/fleet/fleet_events.cpp
@@ -1,14 +1,14 @@
-#include "fleet/notes.h"
+#include "fleet/fleet_events.h"
 
 #include <map>
 
 namespace indigosaddle::fleet {
 
-std::vector<Note> Notes(const Snapshot& before, const Snapshot& after) {
-  using Kind = Note::Kind;
-  std::vector<Note> notes;
-  if (before.standing != after.standing)
-    notes.push_back({Kind::kStanding, NameOf(after.standing), "", after.present});
+std::vector<FleetEvent> Notes(const Snapshot& before, const Snapshot& after) {
+  using Kind = FleetEvent::Kind;
+  std::vector<FleetEvent> notes;
+  if (before.connectivity != after.connectivity)
+    notes.push_back({Kind::kConnectivity, NameOf(after.connectivity), "", after.present});
   std::map<std::string, MemberView> old;
   for (const MemberView& member : before.members) old.emplace(member.name, member);
   for (const MemberView& member : after.members) {
--- a/src/fleet/fleet_sites.cpp
+++ b/src/fleet/fleet_sites.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void Fleet::SetTraits(bool list, bool clients) { has_list_ = list, has_clients_ = clients; }
+void Fleet::SetLocalConditions(bool list, bool clients) { has_list_ = list, has_clients_ = clients; }
 
 // Its own fact, under its own start number: nobody else writes it, and a later process goes before an
 // earlier.
@@ -60,7 +60,7 @@
   for (const auto& [site, report] : Reports()) {
     const Fact* held = facts_.Find(SiteKey(site));
     if (held != nullptr && held->epoch > epoch) continue;
-    const auto agreed = held != nullptr ? SiteWord::Parse(held->value) : std::nullopt;
+    const auto agreed = held != nullptr ? SiteStatus::Parse(held->value) : std::nullopt;
     Write(SiteKey(site), sites_.Decide(site, report, agreed, now).Text(), epoch);
   }
 }
@@ -78,11 +78,11 @@
   if (facts_.Merge(fact)) gossip_.Add(fact);
 }
 
-std::map<std::string, SiteWord> Fleet::SitesAgreed() const {
-  std::map<std::string, SiteWord> sites;
+std::map<std::string, SiteStatus> Fleet::SitesAgreed() const {
+  std::map<std::string, SiteStatus> sites;
   for (const Peer& peer : options_.roster) {
     const Fact* fact = facts_.Find(SiteKey(peer.site));
-    if (const auto word = fact != nullptr ? SiteWord::Parse(fact->value) : std::nullopt)
+    if (const auto word = fact != nullptr ? SiteStatus::Parse(fact->value) : std::nullopt)
       sites[peer.site] = *word;
   }
   return sites;
--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -26,7 +26,7 @@
   return from + std::max(least, most - Times(most - least, share));
 }
 
-Members::Members(std::string self, std::uint64_t start, std::vector<Peer> roster, const Pace& pace,
+Members::Members(std::string self, std::uint64_t start, std::vector<Peer> roster, const Timing& pace,
                  Gossip& gossip)
     : self_(std::move(self)), start_(start), pace_(pace), gossip_(gossip) {
   for (Peer& peer : roster) {
--- a/src/fleet/members.h
+++ b/src/fleet/members.h
@@ -25,7 +25,8 @@
 
 class Members {
  public:
-  Members(std::string self, std::uint64_t start, std::vector<Peer> roster, const Pace& pace, Gossip& gossip);
+  Members(std::string self, std::uint64_t start, std::vector<Peer> roster, const Timing& pace,
+          Gossip& gossip);
 
   // A word from anybody. True where it changed what is believed.
   bool Hear(const MemberWord& word, Micros now);
@@ -59,7 +60,7 @@
   const std::string self_;
   std::uint64_t start_;
   std::uint32_t incarnation_ = 0;
-  const Pace pace_;
+  const Timing pace_;
   Gossip& gossip_;
   std::map<std::string, Member> members_;
   std::map<std::string, Suspicion> suspicions_;
--- a/src/fleet/prober.cpp
+++ b/src/fleet/prober.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-Prober::Prober(Members& members, const Pace& pace, std::uint64_t seed, Micros now)
+Prober::Prober(Members& members, const Timing& pace, std::uint64_t seed, Micros now)
     : members_(members), pace_(pace), random_(seed), seq_(random_() >> 1) {
   // Many start in one instant: they must not probe in step.
   next_ = now + pace_.probe_every * static_cast<std::int64_t>(random_() % 1000) / 1000;
--- a/src/fleet/prober.h
+++ b/src/fleet/prober.h
@@ -24,7 +24,7 @@
   };
   using Asks = std::vector<Ask>;
 
-  Prober(Members& members, const Pace& pace, std::uint64_t seed, Micros now);
+  Prober(Members& members, const Timing& pace, std::uint64_t seed, Micros now);
 
   void Tick(Micros now, Asks& asks);
   Micros NextDue() const;
@@ -36,7 +36,7 @@
   void Refuted();  // somebody suspected this process: it is slow, or was
 
   std::uint64_t NextSeq() { return ++seq_; }
-  int strain() const { return strain_; }  // 0: well; up to kMostStrain
+  int health_penalty() const { return strain_; }  // 0: well; up to kMostStrain
   static constexpr int kMostStrain = 8;
   // `count` present members by chance, but for the named ones.
   std::vector<std::string> Some(std::size_t count, const std::string& but, bool present = true);
@@ -59,7 +59,7 @@
   void Begin(Micros now, Asks& asks);
 
   Members& members_;
-  const Pace pace_;
+  const Timing pace_;
   std::mt19937_64 random_;
   std::uint64_t seq_;
   std::vector<std::string> ring_;
--- a/src/fleet/proposer.cpp
+++ b/src/fleet/proposer.cpp
@@ -19,7 +19,8 @@
 }
 
 Proposer::Proposer(std::string self, std::uint64_t start, std::string resource,
-                   std::vector<std::string> voters, const Pace& pace, std::uint64_t seed, std::uint64_t floor)
+                   std::vector<std::string> voters, const Timing& pace, std::uint64_t seed,
+                   std::uint64_t floor)
     : self_(std::move(self)),
       start_(start),
       resource_(std::move(resource)),
--- a/src/fleet/proposer.h
+++ b/src/fleet/proposer.h
@@ -25,7 +25,7 @@
   // `voters`: all. `floor`: epochs start above it; a wall clock in seconds keeps them rising where every
   // voter has lost its memory, and nothing rests on it otherwise.
   Proposer(std::string self, std::uint64_t start, std::string resource, std::vector<std::string> voters,
-           const Pace& pace, std::uint64_t seed, std::uint64_t floor);
+           const Timing& pace, std::uint64_t seed, std::uint64_t floor);
 
   void Want(bool want, Micros now, Words& words);  // false: stops first, then says so
   void Tick(Micros now, Words& words);
--- a/src/fleet/published.cpp
+++ b/src/fleet/published.cpp
@@ -7,7 +7,7 @@
 #if defined(__SANITIZE_THREAD__)
 extern "C" void __tsan_acquire(void* address);
 extern "C" void __tsan_release(void* address);
-#define INDIGOSADDLE_LOOK_ENDED(at) __tsan_release(const_cast<Published*>(at))
+#define INDIGOSADDLE_LOOK_ENDED(at) __tsan_release(const_cast<PublishedSnapshot*>(at))
 #define INDIGOSADDLE_LOOKS_ENDED(at) __tsan_acquire(at)
 #else
 #define INDIGOSADDLE_LOOK_ENDED(at) static_cast<void>(at)
@@ -16,26 +16,28 @@
 
 namespace indigosaddle::fleet {
 
-Published::Published() : current_(new Snapshot()) {}
+PublishedSnapshot::PublishedSnapshot() : current_(new Snapshot()) {}
 
-Published::~Published() { delete current_.load(); }
+PublishedSnapshot::~PublishedSnapshot() { delete current_.load(); }
 
-void Published::Publish(std::unique_ptr<const Snapshot> snapshot) {
+void PublishedSnapshot::Publish(std::unique_ptr<const Snapshot> snapshot) {
   const std::unique_ptr<const Snapshot> old(current_.exchange(snapshot.release(), std::memory_order_acq_rel));
   urcu_qsbr_synchronize_rcu();
   INDIGOSADDLE_LOOKS_ENDED(this);
 }
 
-Published::Reader::Reader(const Published& published) : published_(published) {
+PublishedSnapshot::Reader::Reader(const PublishedSnapshot& published) : published_(published) {
   urcu_qsbr_register_thread();
   urcu_qsbr_thread_offline();
 }
 
-Published::Reader::~Reader() { urcu_qsbr_unregister_thread(); }
+PublishedSnapshot::Reader::~Reader() { urcu_qsbr_unregister_thread(); }
 
-Published::Reader::Look::Look(const Reader& reader) : reader_(reader) { urcu_qsbr_thread_online(); }
+PublishedSnapshot::Reader::ReadSection::ReadSection(const Reader& reader) : reader_(reader) {
+  urcu_qsbr_thread_online();
+}
 
-Published::Reader::Look::~Look() {
+PublishedSnapshot::Reader::ReadSection::~ReadSection() {
   INDIGOSADDLE_LOOK_ENDED(&reader_.published_);
   urcu_qsbr_thread_offline();
 }
--- a/src/fleet/published.h
+++ b/src/fleet/published.h
@@ -10,12 +10,12 @@
 
 namespace indigosaddle::fleet {
 
-class Published {
+class PublishedSnapshot {
  public:
-  Published();
-  ~Published();  // no reader and no writer may be left
-  Published(const Published&) = delete;
-  Published& operator=(const Published&) = delete;
+  PublishedSnapshot();
+  ~PublishedSnapshot();  // no reader and no writer may be left
+  PublishedSnapshot(const PublishedSnapshot&) = delete;
+  PublishedSnapshot& operator=(const PublishedSnapshot&) = delete;
 
   // One thread at a time; not one that reads. Waits until no reader can see the one before.
   void Publish(std::unique_ptr<const Snapshot> snapshot);
@@ -23,18 +23,18 @@
   // One a thread, made and ended on it. Between looks the thread rests and holds nobody up.
   class Reader {
    public:
-    explicit Reader(const Published& published);
+    explicit Reader(const PublishedSnapshot& published);
     ~Reader();
     Reader(const Reader&) = delete;
     Reader& operator=(const Reader&) = delete;
 
     // While one lives, all that get() gave stays. Short: the writer waits for its end.
-    class Look {
+    class ReadSection {
      public:
-      explicit Look(const Reader& reader);
-      ~Look();
-      Look(const Look&) = delete;
-      Look& operator=(const Look&) = delete;
+      explicit ReadSection(const Reader& reader);
+      ~ReadSection();
+      ReadSection(const ReadSection&) = delete;
+      ReadSection& operator=(const ReadSection&) = delete;
       const Snapshot& get() const { return *reader_.published_.current_.load(std::memory_order_acquire); }
 
      private:
@@ -42,7 +42,7 @@
     };
 
    private:
-    const Published& published_;
+    const PublishedSnapshot& published_;
   };
 
  private:
--- a/src/fleet/contact.cpp
+++ b/src/fleet/quorum_contact.cpp
@@ -1,4 +1,4 @@
-#include "fleet/contact.h"
+#include "fleet/quorum_contact.h"
 
 #include <algorithm>
 #include <functional>
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-Contact::Contact(const std::string& self, const std::vector<Peer>& roster, const Pace& pace, Micros now)
+Contact::Contact(const std::string& self, const std::vector<Peer>& roster, const Timing& pace, Micros now)
     : every_(pace.lease / kAsksPerTerm), next_(now) {
   for (const Peer& peer : roster) {
     if (!peer.votes) continue;
--- a/src/fleet/contact.h
+++ b/src/fleet/quorum_contact.h
@@ -15,7 +15,7 @@
 
 class Contact {
  public:
-  Contact(const std::string& self, const std::vector<Peer>& roster, const Pace& pace, Micros now);
+  Contact(const std::string& self, const std::vector<Peer>& roster, const Timing& pace, Micros now);
 
   void Tick(Micros now, Prober& prober, Prober::Asks& asks);
   Micros NextDue() const { return next_; }
--- a/src/fleet/sites.cpp
+++ b/src/fleet/sites.cpp
@@ -58,11 +58,11 @@
   return sight;
 }
 
-std::string SiteWord::Text() const { return std::string(NameOf(state)) + "\n" + std::to_string(losses); }
+std::string SiteStatus::Text() const { return std::string(NameOf(state)) + "\n" + std::to_string(losses); }
 
-std::optional<SiteWord> SiteWord::Parse(std::string_view text) {
+std::optional<SiteStatus> SiteStatus::Parse(std::string_view text) {
   const std::string_view name = TakeTo(text, '\n');
-  SiteWord word;
+  SiteStatus word;
   const auto state =
       std::find_if(kStates.begin(), kStates.end(), [&](SiteState s) { return name == NameOf(s); });
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), word.losses);
@@ -73,21 +73,21 @@
 }
 
 Micros Sites::Hold(int losses) const {
-  Micros hold = rules_.hold;
-  for (int i = 1; i < losses && hold < rules_.most; ++i) hold *= 2;
-  return std::min(hold, rules_.most);
+  Micros hold = rules_.return_hold;
+  for (int i = 1; i < losses && hold < rules_.max_return_hold; ++i) hold *= 2;
+  return std::min(hold, rules_.max_return_hold);
 }
 
 // Of a site of which somebody is seen.
 SiteState Sites::Present(const SiteReport& report) const {
-  const auto most = [&](int count) { return count > 0 && count >= rules_.agree * report.present; };
+  const auto most = [&](int count) { return count > 0 && count >= rules_.accusing_share * report.present; };
   if (most(report.without_list)) return SiteState::kNoList;
   if (most(report.without_clients)) return SiteState::kNoClients;
   return report.present < report.members ? SiteState::kThin : SiteState::kUp;
 }
 
-SiteWord Sites::Decide(const std::string& site, const SiteReport& report,
-                       const std::optional<SiteWord>& agreed, Micros now) {
+SiteStatus Sites::Decide(const std::string& site, const SiteReport& report,
+                         const std::optional<SiteStatus>& agreed, Micros now) {
   const auto [it, first] = past_.try_emplace(site);
   Past& past = it->second;
   if (agreed && (first || agreed->state != past.state)) {  // another coordinator decided meanwhile
@@ -96,8 +96,8 @@
     while (static_cast<int>(past.losses.size()) < agreed->losses) past.losses.push_back(now);
   }
   while (!past.losses.empty() && now - past.losses.front() > kRemembered) past.losses.pop_front();
-  const bool lost =
-      report.present == 0 && report.others > 0 && report.accusers >= std::ceil(rules_.agree * report.others);
+  const bool lost = report.present == 0 && report.others > 0 &&
+                    report.accusers >= std::ceil(rules_.accusing_share * report.others);
   const auto enter = [&](SiteState state) {
     if (past.state != state) past.since = now;
     past.state = state;
--- a/src/fleet/sites.h
+++ b/src/fleet/sites.h
@@ -26,9 +26,10 @@
 const char* NameOf(SiteState state);
 
 struct SiteRules {
-  double agree = 0.66;                    // part of the members of other sites that must see nobody of it
-  Micros hold{std::chrono::seconds(30)};  // seen so long after a first loss, it is up again
-  Micros most{std::chrono::minutes(10)};  // doubled with each further loss within the hour, up to this
+  double accusing_share = 0.66;  // part of the members of other sites that must see nobody of it
+  Micros return_hold{std::chrono::seconds(30)};  // seen so long after a first loss, it is up again
+  Micros max_return_hold{
+      std::chrono::minutes(10)};  // doubled with each further loss within the hour, up to this
 };
 
 // What a member says of itself and sees of the others, as its own fact "view/NAME".
@@ -51,12 +52,12 @@
 constexpr int kMostLosses = 3600;  // a site's, within the hour
 
 // What is agreed, as the coordinator's fact "site/NAME". `losses`: within the hour.
-struct SiteWord {
+struct SiteStatus {
   SiteState state = SiteState::kUp;
   int losses = 0;
   std::string Text() const;
-  static std::optional<SiteWord> Parse(std::string_view text);
-  bool operator==(const SiteWord&) const = default;
+  static std::optional<SiteStatus> Parse(std::string_view text);
+  bool operator==(const SiteStatus&) const = default;
 };
 
 class Sites {
@@ -65,8 +66,8 @@
 
   // What holds from now on. `agreed`: what held so far, by whichever coordinator; its memory of when is not
   // told, so a new one begins each span anew.
-  SiteWord Decide(const std::string& site, const SiteReport& report, const std::optional<SiteWord>& agreed,
-                  Micros now);
+  SiteStatus Decide(const std::string& site, const SiteReport& report,
+                    const std::optional<SiteStatus>& agreed, Micros now);
   Micros Hold(int losses) const;
 
  private:
--- a/src/fleet/snapshot.cpp
+++ b/src/fleet/snapshot.cpp
@@ -5,7 +5,7 @@
 
 namespace indigosaddle::fleet {
 
-const char* NameOf(Standing standing) {
+const char* NameOf(Standing connectivity) {
   switch (standing) {
     case Standing::kJoining: return "joining";
     case Standing::kConnected: return "connected";
@@ -24,7 +24,8 @@
 
 std::size_t SendersToUse(const Snapshot& snapshot, std::size_t by_file) {
   if (!snapshot.senders) return std::max(by_file, snapshot.present);
-  return snapshot.standing == Standing::kConnected ? *snapshot.senders : std::max(by_file, *snapshot.senders);
+  return snapshot.connectivity == Standing::kConnected ? *snapshot.senders
+                                                       : std::max(by_file, *snapshot.senders);
 }
 
 }  // namespace indigosaddle::fleet
--- a/src/fleet/snapshot.h
+++ b/src/fleet/snapshot.h
@@ -20,7 +20,7 @@
   kConnected,  // in touch with a majority within a lease's term
   kCutOff,     // no longer: this process is in the smaller part of a cut, or alone
 };
-const char* NameOf(Standing standing);
+const char* NameOf(Standing connectivity);
 
 struct MemberView {
   std::string name, site;
@@ -38,18 +38,18 @@
 
 struct Snapshot {
   std::uint64_t number = 0;  // counts up with each that is published
-  Standing standing = Standing::kJoining;
+  Standing connectivity = Standing::kJoining;
   std::optional<Micros> sure;  // when a majority of the voters was last there for sure
   std::size_t present = 1;     // members alive or suspected, with this one
   // Members that may be sending, as agreed, but no fewer than are seen; nothing: not agreed yet.
   std::optional<std::size_t> senders;
   bool superseded = false;                  // another process has this one's name
   bool files_differ = false;                // voters are not the same in all files: no lease is given or held
-  int strain = 0;                           // Lifeguard's local health; 0 is well
+  int health_penalty = 0;                   // Lifeguard's local health; 0 is well
   std::vector<MemberView> members;          // others, by name
   std::map<std::string, LeaseView> leases;  // held by this process
   std::map<std::string, Fact> facts;
-  std::map<std::string, SiteWord> sites;  // as agreed
+  std::map<std::string, SiteStatus> sites;  // as agreed
   bool operator==(const Snapshot&) const = default;
 };
 
--- a/src/fleet/endpoint.cpp
+++ b/src/fleet/transport.cpp
@@ -1,4 +1,4 @@
-#include "fleet/endpoint.h"
+#include "fleet/transport.h"
 
 #include <netinet/in.h>
 
--- a/src/fleet/types.h
+++ b/src/fleet/types.h
@@ -103,7 +103,7 @@
   bool operator==(const Packet&) const = default;
 };
 
-struct Pace {
+struct Timing {
   Micros probe_every{std::chrono::seconds(1)};
   Micros probe_timeout{std::chrono::milliseconds(300)};  // until a direct ping counts as unanswered
   Micros exchange_every{std::chrono::seconds(30)};       // all that is known, with one member
--- a/src/node/config.h
+++ b/src/node/config.h
@@ -25,7 +25,7 @@
 
 struct FleetConfig {   // what processes share
   std::string listen;  // empty: nothing, and no thread starts
-  fleet::Pace pace;
+  fleet::Timing pace;
   std::vector<fleet::Peer> peers;  // this node too
   fleet::SiteRules sites;
   std::map<std::string, std::string> zones;  // of the endpoints at a site, by the site's name
--- a/src/node/config_fleet.cpp
+++ b/src/node/config_fleet.cpp
@@ -108,9 +108,9 @@
   fleet.pace.lease = time("operator.fleet.lease");
   fleet.pace.drift = number("operator.fleet.clock_drift");
   fleet.count_senders = config::At(whole, "operator.fleet.count_senders", 0)->get<bool>();
-  fleet.sites.agree = number("operator.fleet.site_agree");
-  fleet.sites.hold = time("operator.fleet.site_hold");
-  fleet.sites.most = std::max(fleet.sites.hold, time("operator.fleet.site_hold_most"));
+  fleet.sites.accusing_share = number("operator.fleet.site_agree");
+  fleet.sites.return_hold = time("operator.fleet.site_hold");
+  fleet.sites.max_return_hold = std::max(fleet.sites.return_hold, time("operator.fleet.site_hold_most"));
   for (std::size_t i = 0; i < Tables(whole, "operator.sites"); ++i) {
     fleet.zones[TextAt(whole, "operator.sites[].name", i, "")] =
         TextAt(whole, "operator.sites[].zone", i, "");
--- a/src/node/fleet_link.cpp
+++ b/src/node/fleet_link.cpp
@@ -14,7 +14,7 @@
   options.listen = config.fleet.listen;
   options.folder = config.state_folder;
   options.roster = config.fleet.peers;
-  options.pace = config.fleet.pace;
+  options.timing = config.fleet.pace;
   options.sites = config.fleet.sites;
   options.seed = config.settings.seed;
   // For tests of clocks that run fast or slow.
@@ -36,12 +36,12 @@
 
 std::size_t FleetLink::Senders(std::size_t by_file) const {
   if (!counts_senders_) return by_file;
-  const fleet::Published::Reader::Look look(reader_);
+  const fleet::PublishedSnapshot::Reader::ReadSection look(reader_);
   return fleet::SendersToUse(look.get(), by_file);
 }
 
 std::vector<std::string> FleetLink::NewlyLostZones() {
-  const fleet::Published::Reader::Look look(reader_);
+  const fleet::PublishedSnapshot::Reader::ReadSection look(reader_);
   std::vector<std::string> lost;
   for (const auto& [site, word] : look.get().sites) {
     const auto zone = zones_.find(site);
@@ -54,15 +54,21 @@
 }
 
 void FleetLink::Heard() {
-  for (const fleet::Note& note : agent_.TakeNotes()) {
+  for (const fleet::FleetEvent& note : agent_.TakeEvents()) {
     switch (note.kind) {
-      case fleet::Note::Kind::kMember:
-        log_.Write(base::kFleetMember, note.what, note.now, note.number);
+      case fleet::FleetEvent::Kind::kMember:
+        log_.Write(base::kFleetMember, note.subject, note.state, note.value);
         break;
-      case fleet::Note::Kind::kStanding: log_.Write(base::kFleetStanding, note.what, note.number); break;
-      case fleet::Note::Kind::kLease: log_.Write(base::kFleetLease, note.what, note.now, note.number); break;
-      case fleet::Note::Kind::kSite: log_.Write(base::kFleetSite, note.what, note.now, note.number); break;
-      case fleet::Note::Kind::kTrouble: log_.Write(base::kFleetTrouble, note.what); break;
+      case fleet::FleetEvent::Kind::kConnectivity:
+        log_.Write(base::kFleetStanding, note.subject, note.value);
+        break;
+      case fleet::FleetEvent::Kind::kLease:
+        log_.Write(base::kFleetLease, note.subject, note.state, note.value);
+        break;
+      case fleet::FleetEvent::Kind::kSite:
+        log_.Write(base::kFleetSite, note.subject, note.state, note.value);
+        break;
+      case fleet::FleetEvent::Kind::kTrouble: log_.Write(base::kFleetTrouble, note.subject); break;
     }
   }
   changed_();
@@ -70,7 +76,7 @@
 
 nlohmann::json FleetLink::Json() const {
   using nlohmann::json;
-  const fleet::Published::Reader::Look look(reader_);
+  const fleet::PublishedSnapshot::Reader::ReadSection look(reader_);
   const fleet::Snapshot& now = look.get();
   json members = json::object(), leases = json::object(), facts = json::object(), sites = json::object();
   for (const auto& [site, word] : now.sites)
@@ -90,12 +96,12 @@
         {"value", fact.value}, {"epoch", fact.epoch}, {"version", fact.version}, {"owner", fact.owner}};
   }
   const fleet::Counters& counters = agent_.counters();
-  return {{"standing", fleet::NameOf(now.standing)},
+  return {{"standing", fleet::NameOf(now.connectivity)},
           {"present", now.present},
           {"senders", now.senders ? json(*now.senders) : json()},
           {"superseded", now.superseded},
           {"files_differ", now.files_differ},
-          {"strain", now.strain},
+          {"strain", now.health_penalty},
           {"members", members},
           {"sites", sites},
           {"leases", leases},
--- a/src/node/fleet_link.h
+++ b/src/node/fleet_link.h
@@ -30,7 +30,7 @@
   // Zones whose site has become lost since the last call: their endpoints may come back cold.
   std::vector<std::string> NewlyLostZones();
   // What this node sees for itself: whether discovery's watch stands, whether clients are connected.
-  void Tell(bool list, bool clients) { agent_.SetTraits(list, clients); }
+  void Tell(bool list, bool clients) { agent_.SetLocalConditions(list, clients); }
   nlohmann::json Json() const;
 
  private:
@@ -39,10 +39,10 @@
   base::Log& log_;
   const bool counts_senders_;
   const std::map<std::string, std::string> zones_;  // by site
-  std::map<std::string, fleet::SiteWord> sites_;    // as last looked at
+  std::map<std::string, fleet::SiteStatus> sites_;  // as last looked at
   const std::function<void()> changed_;
-  fleet::Published published_;
-  fleet::Published::Reader reader_;
+  fleet::PublishedSnapshot published_;
+  fleet::PublishedSnapshot::Reader reader_;
   net::Wakeup wakeup_;
   fleet::Agent agent_;  // its thread ends before what it tells goes
 };
--- a/tests/config/fleet_config_test.cpp
+++ b/tests/config/fleet_config_test.cpp
@@ -34,7 +34,7 @@
   EXPECT_EQ(config.fleet.listen, "127.0.0.1:7946");
   EXPECT_EQ(config.fleet.pace.lease, std::chrono::seconds(12));
   EXPECT_EQ(config.fleet.pace.probe_timeout, std::chrono::milliseconds(300));
-  EXPECT_DOUBLE_EQ(config.fleet.sites.agree, 0.8);
+  EXPECT_DOUBLE_EQ(config.fleet.sites.accusing_share, 0.8);
   ASSERT_EQ(config.fleet.peers.size(), 2u);
   EXPECT_EQ(config.fleet.peers[1].site, "main");
   EXPECT_FALSE(config.fleet.peers[1].votes);
--- a/tests/fleet/agent_test.cpp
+++ b/tests/fleet/agent_test.cpp
@@ -27,7 +27,7 @@
 class AgentTest : public ::testing::Test {
  protected:
   struct One {
-    Published published;
+    PublishedSnapshot published;
     std::atomic<int> told{0};
     std::unique_ptr<Agent> agent;
   };
@@ -47,9 +47,9 @@
     options.folder = ::testing::TempDir() + "agent-" + std::to_string(getpid()) + "-" + std::to_string(i);
     std::filesystem::create_directories(options.folder);
     options.roster = roster_;
-    options.pace.probe_every = milliseconds(100);
-    options.pace.probe_timeout = milliseconds(40);
-    options.pace.lease = milliseconds(600);
+    options.timing.probe_every = milliseconds(100);
+    options.timing.probe_timeout = milliseconds(40);
+    options.timing.lease = milliseconds(600);
     One* told = one.get();
     one->agent = std::make_unique<Agent>(options, one->published, [told] { ++told->told; });
     return one;
@@ -70,15 +70,15 @@
   for (int i = 0; i < 3; ++i) all.push_back(Make(i));
   for (const auto& one : all) ASSERT_EQ(one->agent->Start(), "");
   {
-    const Published::Reader reader(all[1]->published);
+    const PublishedSnapshot::Reader reader(all[1]->published);
     EXPECT_TRUE(Soon([&] {
-      const Published::Reader::Look look(reader);
-      return look.get().standing == Standing::kConnected && look.get().senders == 3u;
+      const PublishedSnapshot::Reader::ReadSection look(reader);
+      return look.get().connectivity == Standing::kConnected && look.get().senders == 3u;
     }));
     std::set<std::string> members;
     EXPECT_TRUE(Soon([&] {
-      for (const Note& note : all[1]->agent->TakeNotes())
-        if (note.kind == Note::Kind::kMember) members.insert(note.what + " " + note.now);
+      for (const FleetEvent& note : all[1]->agent->TakeEvents())
+        if (note.kind == FleetEvent::Kind::kMember) members.insert(note.subject + " " + note.state);
       return members.contains("n0 alive") && members.contains("n2 alive");
     }));
     EXPECT_GT(all[1]->told, 0);
@@ -86,7 +86,7 @@
     EXPECT_EQ(all[1]->agent->counters().unreadable, 0u);
     all[2].reset();  // leaves
     EXPECT_TRUE(Soon([&] {
-      const Published::Reader::Look look(reader);
+      const PublishedSnapshot::Reader::ReadSection look(reader);
       return look.get().members.back().liveness == Liveness::kLeft;
     }));
   }
--- a/tests/fleet/fleet_wire_test.cpp
+++ b/tests/fleet/fleet_wire_test.cpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <string_view>
 
+#include "fleet/fleet_events.h"
 #include "fleet/memory_file.h"
-#include "fleet/notes.h"
 #include "fleet/wire.h"
 
 namespace indigosaddle::fleet {
@@ -205,23 +205,24 @@
       before.members = {{"a", "s", Liveness::kAlive, true, 1}, {"b", "s", Liveness::kDead, false, 0}};
   EXPECT_TRUE(Notes(before, after).empty());
   after.members[0].liveness = Liveness::kDead;
-  after.standing = Standing::kCutOff;
+  after.connectivity = Standing::kCutOff;
   after.leases["coordinator"] = {4, Micros(1)};
   const auto notes = Notes(before, after);
   ASSERT_EQ(notes.size(), 3u);
-  EXPECT_EQ(notes[0], (Note{Note::Kind::kStanding, "cut off", "", 1}));
-  EXPECT_EQ(notes[1], (Note{Note::Kind::kMember, "a", "dead", 1}));
-  EXPECT_EQ(notes[2], (Note{Note::Kind::kLease, "coordinator", "held", 4}));
-  EXPECT_EQ(Notes(after, before).back(), (Note{Note::Kind::kLease, "coordinator", "not held", 4}));
+  EXPECT_EQ(notes[0], (FleetEvent{FleetEvent::Kind::kConnectivity, "cut off", "", 1}));
+  EXPECT_EQ(notes[1], (FleetEvent{FleetEvent::Kind::kMember, "a", "dead", 1}));
+  EXPECT_EQ(notes[2], (FleetEvent{FleetEvent::Kind::kLease, "coordinator", "held", 4}));
+  EXPECT_EQ(Notes(after, before).back(),
+            (FleetEvent{FleetEvent::Kind::kLease, "coordinator", "not held", 4}));
 }
 
 TEST(SendersTest, WhatIsNotSureCountsAsMoreSenders) {
   Snapshot snapshot;
   EXPECT_EQ(SendersToUse(snapshot, 9), 9u);
   snapshot.senders = 4;
-  snapshot.standing = Standing::kConnected;
+  snapshot.connectivity = Standing::kConnected;
   EXPECT_EQ(SendersToUse(snapshot, 9), 4u);
-  snapshot.standing = Standing::kCutOff;
+  snapshot.connectivity = Standing::kCutOff;
   EXPECT_EQ(SendersToUse(snapshot, 9), 9u);
   snapshot.senders = 14;
   EXPECT_EQ(SendersToUse(snapshot, 9), 14u);
--- a/tests/fleet/fleet_world_test.cpp
+++ b/tests/fleet/fleet_world_test.cpp
@@ -14,7 +14,8 @@
   EXPECT_TRUE(world.RunUntil(
       [&] {
         for (int i = 0; i < world.size(); ++i)
-          if (world.View(i).senders != 40u || world.View(i).standing != Standing::kConnected) return false;
+          if (world.View(i).senders != 40u || world.View(i).connectivity != Standing::kConnected)
+            return false;
         return true;
       },
       seconds(20)));
@@ -93,7 +94,7 @@
   world.Part(side);
   world.Run(seconds(13));
   for (int i = 0; i < world.size(); ++i)
-    EXPECT_EQ(world.View(i).standing, side.contains(i) ? Standing::kCutOff : Standing::kConnected) << i;
+    EXPECT_EQ(world.View(i).connectivity, side.contains(i) ? Standing::kCutOff : Standing::kConnected) << i;
   world.Run(seconds(120));
   for (int i : side) {
     EXPECT_EQ(SendersToUse(world.View(i), 20), 25u) << i;
@@ -104,7 +105,8 @@
   EXPECT_TRUE(world.RunUntil(
       [&] {
         for (int i = 0; i < world.size(); ++i)
-          if (world.View(i).senders != 25u || world.View(i).standing != Standing::kConnected) return false;
+          if (world.View(i).senders != 25u || world.View(i).connectivity != Standing::kConnected)
+            return false;
         return true;
       },
       seconds(60)));
@@ -123,7 +125,7 @@
   world.Heal();
   for (int step = 0; step < 2000; ++step) {
     world.Run(milliseconds(10));
-    if (world.View(8).standing != Standing::kConnected) continue;
+    if (world.View(8).connectivity != Standing::kConnected) continue;
     EXPECT_NE(world.View(8).facts.at(kSendersFact).value, "9");
     return;
   }
@@ -135,10 +137,11 @@
 TEST(FleetWorld, ACutInOneDirectionIsACut) {
   World world(10, 2, 5, 8);
   world.StartAll();
-  ASSERT_TRUE(world.RunUntil([&] { return world.View(4).standing == Standing::kConnected; }, seconds(60)));
+  ASSERT_TRUE(
+      world.RunUntil([&] { return world.View(4).connectivity == Standing::kConnected; }, seconds(60)));
   for (int i = 0; i < 10; ++i)
     if (i != 4) world.Cut(4, i);
-  EXPECT_TRUE(world.RunUntil([&] { return world.View(4).standing == Standing::kCutOff; }, seconds(15)));
+  EXPECT_TRUE(world.RunUntil([&] { return world.View(4).connectivity == Standing::kCutOff; }, seconds(15)));
   EXPECT_TRUE(world.RunUntil([&] { return world.Sees(9, 4) == Liveness::kDead; }, seconds(60)));
   EXPECT_EQ(Words(world.broken), "");
 }
--- a/tests/fleet/lease_explorer.h
+++ b/tests/fleet/lease_explorer.h
@@ -236,7 +236,7 @@
     queue.emplace_back(std::move(state), depth);
   }
 
-  Pace pace_;
+  Timing pace_;
   const Mutant mutant_;
   const int depth_;
   const std::size_t most_;
--- a/tests/fleet/lease_world_test.cpp
+++ b/tests/fleet/lease_world_test.cpp
@@ -95,7 +95,7 @@
   const int seeds = wanted != nullptr ? std::atoi(wanted) : 150;
   int takeovers = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
-    Pace pace;
+    Timing pace;
     pace.probe_every = milliseconds(500);
     pace.probe_timeout = milliseconds(100);
     pace.lease = seconds(3);
--- a/tests/fleet/leases_test.cpp
+++ b/tests/fleet/leases_test.cpp
@@ -15,7 +15,7 @@
 class AcceptorTest : public ::testing::Test {
  protected:
   AcceptorTest() { memory.sure = true; }
-  Pace pace;
+  Timing pace;
   Memory memory;
   bool remember = false;
   LeaseWord Ask(LeaseKind kind, std::uint64_t counter, const std::string& who) {
@@ -70,7 +70,7 @@
 }
 
 TEST(ProposerTest, CountsItsLeaseFromTheQuestionAndShorterThanAnyVoter) {
-  Pace pace;
+  Timing pace;
   pace.drift = 0.05;
   EXPECT_LT(std::chrono::duration<double>(HolderTerm(pace.lease, pace.drift)).count() / (1 - pace.drift),
             std::chrono::duration<double>(pace.lease).count() / (1 + pace.drift) + 1e-6);
--- a/tests/fleet/members_test.cpp
+++ b/tests/fleet/members_test.cpp
@@ -37,7 +37,7 @@
 
 class MembersTest : public ::testing::Test {
  protected:
-  Pace pace;
+  Timing pace;
   Gossip gossip;
   Members members{"m0", 7, Roster(12), pace, gossip};
   void AllAlive() {
--- a/tests/fleet/published_test.cpp
+++ b/tests/fleet/published_test.cpp
@@ -14,17 +14,17 @@
 
 // Every look sees one whole snapshot, never an older one than the look before, while a writer replaces it.
 TEST(PublishedTest, ReadersSeeWholeSnapshotsThatOnlyGetNewer) {
-  Published published;
+  PublishedSnapshot published;
   std::atomic<bool> done{false};
   std::atomic<int> torn{0}, older{0};
   std::atomic<std::uint64_t> looks{0};
   std::vector<std::thread> readers;
   for (int i = 0; i < 3; ++i) {
     readers.emplace_back([&] {
-      const Published::Reader reader(published);
+      const PublishedSnapshot::Reader reader(published);
       std::uint64_t last = 0;
       while (!done) {
-        const Published::Reader::Look look(reader);
+        const PublishedSnapshot::Reader::ReadSection look(reader);
         const Snapshot& snapshot = look.get();
         const std::size_t number = snapshot.number;
         if (snapshot.members.size() != number % 7 ||
@@ -50,13 +50,13 @@
 
 // A reader that rests holds the writer up for nothing, however long.
 TEST(PublishedTest, AWriterDoesNotWaitForAReaderThatRests) {
-  Published published;
-  const Published::Reader reader(published);
+  PublishedSnapshot published;
+  const PublishedSnapshot::Reader reader(published);
   std::thread writer([&] {
     for (int i = 0; i < 100; ++i) published.Publish(std::make_unique<Snapshot>());
   });
   writer.join();
-  const Published::Reader::Look look(reader);
+  const PublishedSnapshot::Reader::ReadSection look(reader);
   EXPECT_EQ(look.get().number, 0u);
 }
 
--- a/tests/fleet/sites_test.cpp
+++ b/tests/fleet/sites_test.cpp
@@ -12,7 +12,7 @@
  protected:
   SiteRules rules;
   Sites sites{rules};
-  std::optional<SiteWord> agreed;
+  std::optional<SiteStatus> agreed;
   static SiteReport Well() { return {4, 4, 4, 0, 0, 8, 0}; }
   static SiteReport Gone(int accusers) { return {4, 0, 0, 0, 0, 8, accusers}; }
   SiteState At(Micros now, const SiteReport& report) {
@@ -65,7 +65,7 @@
 TEST_F(SitesTest, FlappingMakesTheReturnSlower) {
   EXPECT_EQ(sites.Hold(1), seconds(30));
   EXPECT_EQ(sites.Hold(3), seconds(120));
-  EXPECT_EQ(sites.Hold(1000), rules.most);
+  EXPECT_EQ(sites.Hold(1000), rules.max_return_hold);
   At(seconds(0), Well());
   for (int loss = 1; loss <= 3; ++loss) {
     EXPECT_EQ(At(seconds(100 * loss), Gone(8)), SiteState::kLost);
@@ -80,20 +80,20 @@
 
 // A coordinator that follows another knows what was agreed, not since when: it begins the span anew.
 TEST_F(SitesTest, ANewCoordinatorGoesOnWithWhatWasAgreed) {
-  agreed = SiteWord{SiteState::kReturning, 2};
+  agreed = SiteStatus{SiteState::kReturning, 2};
   EXPECT_EQ(At(seconds(1000), Well()), SiteState::kReturning);
   EXPECT_EQ(At(seconds(1059), Well()), SiteState::kReturning);
   EXPECT_EQ(At(seconds(1061), Well()), SiteState::kUp);
 }
 
 TEST_F(SitesTest, WordsAreReadAsWritten) {
-  const SiteWord word{SiteState::kNoClients, 12};
-  EXPECT_EQ(SiteWord::Parse(word.Text()), word);
+  const SiteStatus word{SiteState::kNoClients, 12};
+  EXPECT_EQ(SiteStatus::Parse(word.Text()), word);
   MemberSight sight;
   sight.touch = true, sight.list = false, sight.unseen = {"a b", "c"};
   EXPECT_EQ(MemberSight::Parse(sight.Text()), sight);
   for (const char* rubbish : {"", "up", "up\n", "up\nx", "gone\n1", "up\n1\n2"})
-    EXPECT_FALSE(SiteWord::Parse(rubbish));
+    EXPECT_FALSE(SiteStatus::Parse(rubbish));
   EXPECT_FALSE(MemberSight::Parse("tl"));
 }
 
@@ -145,7 +145,7 @@
       seconds(90)));
   world.Run(seconds(120));
   for (const int i : side) {
-    EXPECT_EQ(world.View(i).standing, Standing::kCutOff);
+    EXPECT_EQ(world.View(i).connectivity, Standing::kCutOff);
     EXPECT_EQ(world.View(i).sites.at("site0").state, SiteState::kUp) << "the last that was agreed";
   }
   world.Heal();
@@ -220,10 +220,10 @@
 // A word that is not as this program writes it is none: read in part it would hide a loss (whose endpoints
 // then count as warm), make a list of any length of it, or say that discovery is lost.
 TEST(SiteTexts, AnOddTextIsNoWord) {
-  EXPECT_TRUE(SiteWord::Parse("lost\n3"));
+  EXPECT_TRUE(SiteStatus::Parse("lost\n3"));
   for (const char* text : {"", "lost", "lost\n", "lost\n-1", "lost\n3x", "lost\n3\n", "gone\n3",
                            "lost\n2000000000", "lost\n99999999999"})
-    EXPECT_FALSE(SiteWord::Parse(text)) << text;
+    EXPECT_FALSE(SiteStatus::Parse(text)) << text;
   EXPECT_TRUE(MemberSight::Parse("t-c\nsouth"));
   for (const char* text : {"", "tl", "xyz", "TLC", "tlcx", "ltc", "t c\nsouth"})
     EXPECT_FALSE(MemberSight::Parse(text)) << text;
--- a/tests/fleet/world.h
+++ b/tests/fleet/world.h
@@ -21,7 +21,8 @@
 class World {
  public:
   // Member i stands at site i % sites; the first `voters` vote.
-  World(int members, int sites, int voters, std::uint64_t seed, Pace pace = {}) : pace_(pace), random_(seed) {
+  World(int members, int sites, int voters, std::uint64_t seed, Timing pace = {})
+      : pace_(pace), random_(seed) {
     for (int i = 0; i < members; ++i) {
       roster_.push_back({Name(i), "site" + std::to_string(i % sites), "", i < voters});
       nodes_.emplace_back();
@@ -112,7 +113,7 @@
   }
 
   void Traits(int i, bool list, bool clients) {
-    nodes_[static_cast<std::size_t>(i)].fleet->SetTraits(list, clients);
+    nodes_[static_cast<std::size_t>(i)].fleet->SetLocalConditions(list, clients);
   }
   std::set<int> Site(int site) const {  // its members
     std::set<int> members;
@@ -236,7 +237,7 @@
     }
   }
 
-  Pace pace_;
+  Timing pace_;
   std::mt19937_64 random_;
   std::vector<Peer> roster_;
   std::vector<Node> nodes_;
