--- a/benchmarks/fleet_figures.cpp
+++ b/benchmarks/fleet_figures.cpp
@@ -1,7 +1,7 @@
-// Figures of whole fleets in virtual time (tests/fleet/world.h), for docs/results.md. Usage:
-//   fleet_figures cost            bytes, packets and CPU a member, 3 to 300 members
+// Measures whole fleets in virtual time (tests/fleet/world.h), for docs/results.md. Usage:
+//   fleet_figures cost            bytes, packets and CPU per member, 3 to 300 members
 //   fleet_figures site LOSS       loss of one of three sites at 99 members: how long until all others agree
-//   fleet_figures false LOSS H    members given up though they lived, in H node-hours at 50 members
+//   fleet_figures false LOSS H    living members declared dead, in H node-hours at 50 members
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -30,7 +30,7 @@
     world.StartAll();
     world.Run(60s);
     std::uint64_t packets = 0, bytes = 0;
-    world.sent = [&](int, const Packet& packet) { ++packets, bytes += Encode(packet).size(); };
+    world.on_packet_sent = [&](int, const Packet& packet) { ++packets, bytes += Encode(packet).size(); };
     const auto began = std::chrono::steady_clock::now();
     world.Run(20s);
     const std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
@@ -65,27 +65,27 @@
   world.network.loss = loss;
   world.StartAll();
   world.RunUntil([&] { return world.AllSeeAll(); }, 120s);
-  int given_up = 0, sites_lost = 0;
+  int declared_dead = 0, sites_lost = 0;
   const int steps = static_cast<int>(hours * 3600 / 50);
   for (int step = 0; step < steps; ++step) {
     world.Run(1s);
     const auto view = world.View(step % 50);
-    for (const auto& member : view.members) given_up += member.liveness >= Liveness::kDead;
-    for (const auto& [site, word] : view.sites) sites_lost += word.state == SiteState::kLost;
+    for (const auto& member : view.members) declared_dead += member.liveness >= Liveness::kDead;
+    for (const auto& [site, status] : view.sites) sites_lost += status.state == SiteState::kLost;
   }
   fmt::print(
       "loss {}, {} node-hours: {} looks saw a living member given up, {} a living site lost; {} faults\n",
-      loss, hours, given_up, sites_lost, world.broken.size());
+      loss, hours, declared_dead, sites_lost, world.violations.size());
 }
 
 }  // namespace
 
-int main(int count, char** words) {
-  std::setvbuf(stdout, nullptr, _IOLBF, 0);  // a long run shows what it has
-  const std::string what = count > 1 ? words[1] : "";
+int main(int count, char** arguments) {
+  std::setvbuf(stdout, nullptr, _IOLBF, 0);  // a long run shows its progress
+  const std::string what = count > 1 ? arguments[1] : "";
   if (what == "cost") return Cost(), 0;
-  if (what == "site" && count > 2) return Site(std::atof(words[2])), 0;
-  if (what == "false" && count > 3) return False(std::atof(words[2]), std::atof(words[3])), 0;
+  if (what == "site" && count > 2) return Site(std::atof(arguments[2])), 0;
+  if (what == "false" && count > 3) return False(std::atof(arguments[2]), std::atof(arguments[3])), 0;
   std::fputs("usage: fleet_figures cost | site LOSS | false LOSS NODE_HOURS\n", stderr);
   return 2;
 }
--- a/benchmarks/snapshot_benchmark.cpp
+++ b/benchmarks/snapshot_benchmark.cpp
@@ -1,6 +1,5 @@
-// What a look at the fleet's snapshot costs on the path of a request, while the fleet's thread replaces it
-// 1,000 times a second: by read-copy-update as built, under a mutex, and through
-// std::atomic<std::shared_ptr>.
+// Cost of reading the fleet's snapshot on the path of a request, while the fleet's thread replaces it 1,000
+// times a second: by read-copy-update as built, under a mutex, and through std::atomic<std::shared_ptr>.
 #include <benchmark/benchmark.h>
 
 #include <atomic>
@@ -23,7 +22,7 @@
   return snapshot;
 }
 
-// Calls `publish` 1,000 times a second until it goes.
+// Calls `publish` 1,000 times a second until it is destroyed.
 class Writer {
  public:
   template <typename Publish>
@@ -46,26 +45,26 @@
   std::thread thread_;
 };
 
-// One look a request.
+// One read section per request.
 void ReadCopyUpdate(benchmark::State& state) {
   PublishedSnapshot published;
   const PublishedSnapshot::Reader reader(published);
   const Writer writer([&](std::uint64_t number) { published.Publish(Make(number)); });
   for (auto _ : state) {
-    const PublishedSnapshot::Reader::ReadSection look(reader);
-    benchmark::DoNotOptimize(look.get().members.data());
+    const PublishedSnapshot::Reader::ReadSection section(reader);
+    benchmark::DoNotOptimize(section.get().members.data());
   }
 }
 BENCHMARK(ReadCopyUpdate);
 
-// A turn of the node's loop takes one look for all its requests: here 16.
+// A turn of the node's loop takes one read section for all its requests: here 16.
 void ReadCopyUpdateATurnOf16(benchmark::State& state) {
   PublishedSnapshot published;
   const PublishedSnapshot::Reader reader(published);
   const Writer writer([&](std::uint64_t number) { published.Publish(Make(number)); });
   while (state.KeepRunningBatch(16)) {
-    const PublishedSnapshot::Reader::ReadSection look(reader);
-    for (int i = 0; i < 16; ++i) benchmark::DoNotOptimize(look.get().members.data());
+    const PublishedSnapshot::Reader::ReadSection section(reader);
+    for (int i = 0; i < 16; ++i) benchmark::DoNotOptimize(section.get().members.data());
   }
 }
 BENCHMARK(ReadCopyUpdateATurnOf16);
@@ -89,8 +88,8 @@
   std::atomic<std::shared_ptr<const Snapshot>> current{Make(0)};
   const Writer writer([&](std::uint64_t number) { current.store(Make(number)); });
   for (auto _ : state) {
-    const std::shared_ptr<const Snapshot> look = current.load();
-    benchmark::DoNotOptimize(look->members.data());
+    const std::shared_ptr<const Snapshot> section = current.load();
+    benchmark::DoNotOptimize(section->members.data());
   }
 }
 BENCHMARK(AtomicSharedPointer);
--- a/src/fleet/acceptor.h
+++ b/src/fleet/acceptor.h
@@ -1,8 +1,9 @@
-// A voter's part in leases, after PaxosLease (Trencseni, Gazso, Reinhardt 2009): a lease is a value accepted
-// by a majority that runs out by itself, on each voter's own steady clock. Nothing of the lease itself is on
-// the disk: a voter that starts is silent until every lease that it may have accepted before has run out. The
-// highest ballot promised is on the disk, so that epochs only rise; a voter that lost it asks the others
-// first. A pure state machine; also what the explorer of tests/fleet walks through.
+// The acceptor (voter) side of leases, after PaxosLease (Trencseni, Gazso, Reinhardt 2009): a lease is a
+// value accepted by a majority that expires by itself, on each voter's own steady clock. The lease itself is
+// never written to disk: a voter that starts stays silent until every lease that it may have accepted before
+// has expired. The highest promised ballot is on disk, so that epochs only rise; a voter that lost it asks
+// the other voters first. A pure state machine without I/O; lease_explorer.h in tests/fleet explores its
+// states.
 #pragma once
 
 #include <map>
@@ -14,35 +15,47 @@
 
 namespace indigosaddle::fleet {
 
-// What a voter must not forget.
-struct Memory {
-  std::map<std::string, Ballot> promised;  // by resource
-  std::uint64_t start = 0;                 // number of the latest process of this name
-  bool sure = false;                       // no promise is missing here
-  bool operator==(const Memory&) const = default;
+// The state that a voter must keep across restarts (memory_file.h stores it).
+struct VoterMemory {
+  // Highest ballot promised, by resource.
+  std::map<std::string, Ballot> promised;
+  // Start number of the latest process of this name.
+  std::uint64_t start = 0;
+  // True where no promise of this voter is missing from `promised`. Stored as "sure".
+  bool complete = false;
+  bool operator==(const VoterMemory&) const = default;
 };
 
+// Answers proposers on behalf of one voter.
 class Acceptor {
  public:
-  // `others`: the voters but this one.
-  Acceptor(std::vector<std::string> others, const Timing& pace, Memory memory, Micros now);
+  // `others` names all voters except this one; `now` is the local steady clock.
+  Acceptor(std::vector<std::string> others, const Timing& timing, VoterMemory memory, Micros now);
 
-  // The answer to a proposer, or nothing where this voter must be silent. `remember` is set where memory()
-  // has to be on the disk before the answer leaves.
-  std::optional<LeaseWord> Answer(const LeaseWord& word, Micros now, bool& remember);
+  // Returns the answer to a proposer's message, or nothing where this voter must stay silent or the message
+  // needs no answer. Sets `persist` where memory() must be on disk before the answer is sent.
+  std::optional<LeaseMessage> Answer(const LeaseMessage& message, Micros now, bool& persist);
 
-  // A voter without memory: words for every other voter, until it has heard enough.
-  bool Recalls() const { return !memory_.sure; }
-  LeaseWord RecallWord() const { return {LeaseKind::kRecall, "", {}, 0, {}, false}; }
-  std::vector<LeaseWord> Recollections() const;
-  void OnRecollect(const std::string& from, const std::vector<LeaseWord>& words, bool& remember);
+  // True while this voter's promises are incomplete and it must ask the other voters.
+  bool NeedsRecovery() const { return !memory_.complete; }
+  // The request to send to every other voter while NeedsRecovery().
+  LeaseMessage RecoveryRequest() const { return {LeaseKind::kRecoveryRequest, "", {}, 0, {}, false}; }
+  // This voter's answer to another voter's recovery request: all its promises.
+  std::vector<LeaseMessage> RecoveryReplies() const;
+  // Merges the promises that voter `from` reported. Sets `persist` where the memory became complete.
+  void OnRecoveryReply(const std::string& from, const std::vector<LeaseMessage>& messages, bool& persist);
 
-  std::string State() const;  // as Proposer::State
-  bool Silent(Micros now) const { return now < silent_until_ || !memory_.sure; }
-  void BeSilent(Micros until) { silent_until_ = std::max(silent_until_, until); }
-  const Memory& memory() const { return memory_; }
+  // Text of the whole state, as Proposer::StateKey.
+  std::string StateKey() const;
+  // True where this voter may answer no proposer.
+  bool Silent(Micros now) const { return now < silent_until_ || !memory_.complete; }
+  // Keeps this voter silent at least until `until`.
+  void SilenceUntil(Micros until) { silent_until_ = std::max(silent_until_, until); }
+  // What has to be persisted.
+  const VoterMemory& memory() const { return memory_; }
 
  private:
+  // A lease that this voter accepted; it runs until `until` by the local clock.
   struct Lease {
     Ballot ballot;
     Micros until{0};
@@ -50,10 +63,12 @@
   };
   std::vector<std::string> others_;
   Micros term_;
-  Memory memory_;
+  VoterMemory memory_;
   Micros silent_until_;
+  // Latest accepted lease, by resource.
   std::map<std::string, Lease> accepted_;
-  std::map<std::string, bool> heard_;  // voters that told what they remember, and whether they do
+  // Voters that answered a recovery request, and whether their own memory is complete.
+  std::map<std::string, bool> recovery_replies_;
 };
 
 }  // namespace indigosaddle::fleet
--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -10,10 +10,10 @@
 namespace indigosaddle::fleet {
 namespace {
 
-constexpr Micros kShowEvery = std::chrono::milliseconds(10);  // snapshots come no faster
-constexpr Micros kMostSleep = std::chrono::seconds(10);
+constexpr Micros kMinPublishInterval = std::chrono::milliseconds(10);  // between two snapshots
+constexpr Micros kMaxSleep = std::chrono::seconds(10);
 
-Micros Raw() {
+Micros BootTime() {
   timespec now{};
   clock_gettime(CLOCK_BOOTTIME, &now);
   return std::chrono::duration_cast<Micros>(std::chrono::seconds(now.tv_sec) +
@@ -27,18 +27,18 @@
 
 }  // namespace
 
-SteadyClock::SteadyClock(double rate) : rate_(rate), origin_(Raw()) {}
+SteadyClock::SteadyClock(double rate) : rate_(rate), origin_(BootTime()) {}
 
 Micros SteadyClock::Now() const {
-  const Micros raw = Raw();
+  const Micros raw = BootTime();
   if (rate_ == 1) return raw;
   return origin_ + std::chrono::duration_cast<Micros>(std::chrono::duration<double>(raw - origin_) * rate_);
 }
 
-Agent::Agent(AgentOptions options, PublishedSnapshot& published, std::function<void()> told)
+Agent::Agent(AgentOptions options, PublishedSnapshot& published, std::function<void()> on_change)
     : options_(std::move(options)),
       published_(published),
-      told_(std::move(told)),
+      on_change_(std::move(on_change)),
       clock_(options_.clock_rate),
       file_(options_.folder) {}
 
@@ -46,24 +46,24 @@
   FleetOptions fleet;
   fleet.name = options_.name;
   fleet.roster = options_.roster;
-  fleet.pace = options_.timing;
+  fleet.timing = options_.timing;
   fleet.sites = options_.sites;
   fleet.seed = options_.seed;
   fleet.floor = WallMillis() / 1000;
   std::string trouble;
   if (!file_.Read(fleet.memory, trouble) && !trouble.empty())
-    notes_.Put(
+    events_.Put(
         {FleetEvent::Kind::kTrouble, "fleet.memory " + trouble + "; the other voters are asked", "", 0});
   fleet.start = fleet.memory.start = std::max(fleet.memory.start + 1, WallMillis());
-  if (!file_.Write(fleet.memory)) return "the state folder takes no fleet.memory";
+  if (!file_.Write(fleet.memory)) return "fleet.memory cannot be written in the state folder";
   fleet_ = std::make_unique<Fleet>(std::move(fleet), clock_.Now());
-  endpoint_ = std::make_unique<Endpoint>(loop_, static_cast<Endpoint::Handler&>(*this), options_.roster,
-                                         options_.name, counters_);
-  if (std::string reason = endpoint_->Listen(options_.listen); !reason.empty()) return reason;
+  transport_ = std::make_unique<Transport>(loop_, static_cast<Transport::Handler&>(*this), options_.roster,
+                                           options_.name, counters_);
+  if (std::string reason = transport_->Listen(options_.listen); !reason.empty()) return reason;
   tick_ = std::make_unique<net::Timer>(loop_, [this] { Tick(); });
-  ask_close_ = std::make_unique<net::Wakeup>(loop_, [this] { Close(); });
+  close_request_ = std::make_unique<net::Wakeup>(loop_, [this] { Close(); });
   tick_->Start(Micros(0));
-  // Signals are the main thread's.
+  // Signals are handled on the main thread only.
   sigset_t all, before;
   sigfillset(&all);
   pthread_sigmask(SIG_BLOCK, &all, &before);
@@ -74,75 +74,76 @@
 
 Agent::~Agent() {
   if (!thread_.joinable()) return;
-  ask_close_->Ask();
+  close_request_->Ask();
   thread_.join();
 }
 
-// On the agent's thread: the last words, then every handle is closed and the loop ends by itself.
+// Runs on the agent's thread: announces that this member leaves, then closes every handle, so that the loop
+// ends by itself.
 void Agent::Close() {
-  Out out;
-  fleet_->Leave(clock_.Now(), out);
-  Carry(out);
+  Actions actions;
+  fleet_->Leave(clock_.Now(), actions);
+  Dispatch(actions);
   tick_.reset();
-  endpoint_.reset();
-  ask_close_.reset();
+  transport_.reset();
+  close_request_.reset();
 }
 
 void Agent::OnPacket(const Packet& packet) {
-  Out out;
-  fleet_->OnPacket(packet, clock_.Now(), out);
-  Carry(out);
-  Arm();
+  Actions actions;
+  fleet_->OnPacket(packet, clock_.Now(), actions);
+  Dispatch(actions);
+  ScheduleTick();
 }
 
-Packet Agent::ExchangeWord(bool answer) { return fleet_->ExchangeWord(answer); }
+Packet Agent::ExchangePacket(bool answer) { return fleet_->ExchangePacket(answer); }
 
 void Agent::Tick() {
-  Out out;
+  Actions actions;
   fleet_->SetLocalConditions(list_, clients_);
-  fleet_->Tick(clock_.Now(), out);
-  Carry(out);
-  Arm();
+  fleet_->Tick(clock_.Now(), actions);
+  Dispatch(actions);
+  ScheduleTick();
 }
 
-void Agent::Carry(const Out& out) {
+void Agent::Dispatch(const Actions& actions) {
   bool may_promise = true;
-  if (out.remember) {
+  if (actions.persist) {
     may_promise = file_.Write(fleet_->memory());
     if (may_promise == memory_fails_) {
       memory_fails_ = !may_promise;
-      notes_.Put({FleetEvent::Kind::kTrouble,
-                  may_promise ? "fleet.memory can be written again"
-                              : "fleet.memory can't be written; this voter is silent",
-                  "", 0});
+      events_.Put({FleetEvent::Kind::kTrouble,
+                   may_promise ? "fleet.memory can be written again"
+                               : "fleet.memory can't be written; this voter is silent",
+                   "", 0});
     }
   }
-  for (const auto& [to, packet] : out.packets)
-    if (may_promise || packet.kind != PacketKind::kLease) endpoint_->Send(to, packet);
-  for (const std::string& with : out.exchanges) endpoint_->BeginExchange(with);
+  for (const auto& [to, packet] : actions.packets)
+    if (may_promise || packet.kind != PacketKind::kLease) transport_->Send(to, packet);
+  for (const std::string& with : actions.exchanges) transport_->BeginExchange(with);
 }
 
-// Replaces what others see, where it changed.
-void Agent::Show() {
+// Publishes a snapshot where it differs from the last one.
+void Agent::PublishIfChanged() {
   Snapshot view = fleet_->View(clock_.Now());
-  view.number = shown_.number;
-  if (view == shown_) return;
+  view.number = last_published_.number;
+  if (view == last_published_) return;
   ++view.number;
-  for (FleetEvent& note : Notes(shown_, view)) notes_.Put(std::move(note));
-  shown_ = view;
+  for (FleetEvent& event : EventsBetween(last_published_, view)) events_.Put(std::move(event));
+  last_published_ = view;
   published_.Publish(std::make_unique<const Snapshot>(std::move(view)));
-  told_();
+  on_change_();
 }
 
-void Agent::Arm() {
+void Agent::ScheduleTick() {
   const Micros now = clock_.Now();
-  const bool late = now >= show_at_;
-  if (late) {
-    Show();
-    show_at_ = now + kShowEvery;
+  const bool publish = now >= publish_at_;
+  if (publish) {
+    PublishIfChanged();
+    publish_at_ = now + kMinPublishInterval;
   }
-  // What a packet brought just after a snapshot is shown by a tick soon.
-  const Micros sleep = std::min(fleet_->NextDue() - now, late ? kMostSleep : show_at_ - now);
+  // A change that comes just after a snapshot is published by a tick soon after.
+  const Micros sleep = std::min(fleet_->NextDue() - now, publish ? kMaxSleep : publish_at_ - now);
   tick_->Start(std::max(Micros(0), sleep));
 }
 
--- a/src/fleet/agent.h
+++ b/src/fleet/agent.h
@@ -1,5 +1,6 @@
-// The fleet on real sockets: one thread with a loop of its own moves packets and the time in and out of a
-// Fleet (fleet.h), keeps the voter's memory on the disk, and publishes snapshots. Nothing is decided here.
+// Runs a Fleet (fleet.h) on real sockets: one thread with its own event loop feeds packets and the time into
+// the state machine, sends its packets, keeps the voter's memory on disk and publishes snapshots. No protocol
+// decision is made here.
 #pragma once
 
 #include <atomic>
@@ -20,11 +21,11 @@
 
 namespace indigosaddle::fleet {
 
-// The clock that leases are counted by: steady, and going on while the machine sleeps, so that a process that
-// wakes up knows that its leases are over. The same on all threads of a machine.
+// The clock by which leases are measured: steady, and running while the machine sleeps, so that a process
+// that wakes up knows that its leases have expired. The same on all threads of a machine.
 class SteadyClock {
  public:
-  // `rate`: for tests, a clock that runs fast or slow from here on.
+  // `rate` other than 1 makes the clock run fast or slow from here on; for tests.
   explicit SteadyClock(double rate = 1);
   Micros Now() const;
 
@@ -33,54 +34,78 @@
   Micros origin_;
 };
 
+// Configuration of an Agent.
 struct AgentOptions {
-  std::string name, listen, folder;
+  // Name of this member in the roster.
+  std::string name;
+  // ip:port for datagrams and exchanges.
+  std::string listen;
+  // State folder, which holds fleet.memory.
+  std::string folder;
+  // All members, this one included.
   std::vector<Peer> roster;
-  Timing pace;
+  Timing timing;
   SiteRules sites;
+  // Seed of all random choices.
   std::uint64_t seed = 0;
+  // See SteadyClock.
   double clock_rate = 1;
 };
 
-class Agent : private Endpoint::Handler {
+// Owns the fleet's thread. The destructor leaves the fleet and ends the thread.
+class Agent : private Transport::Handler {
  public:
-  // `told` is called on the agent's thread, after a snapshot or notes have come.
-  Agent(AgentOptions options, PublishedSnapshot& published, std::function<void()> told);
-  ~Agent() override;  // leaves the fleet and ends the thread
+  // `on_change` is called on the agent's thread after a snapshot was published or events were added.
+  // `published` must outlive the agent.
+  Agent(AgentOptions options, PublishedSnapshot& published, std::function<void()> on_change);
+  ~Agent() override;
   Agent(const Agent&) = delete;
   Agent& operator=(const Agent&) = delete;
 
-  std::string Start();  // why it can't; empty: the thread runs
-  // From any thread.
-  void SetLocalConditions(bool list, bool clients) { list_ = list, clients_ = clients; }  // see Fleet
-  std::vector<FleetEvent> TakeEvents() { return notes_.TakeAll(); }
+  // Starts the thread. Returns the reason for a failure; empty on success.
+  std::string Start();
+
+  // The following may be called from any thread.
+
+  // See Fleet::SetLocalConditions.
+  void SetLocalConditions(bool list, bool clients) {
+    list_ = list;
+    clients_ = clients;
+  }
+  // Removes and returns the events since the last call, oldest first.
+  std::vector<FleetEvent> TakeEvents() { return events_.TakeAll(); }
   const Counters& counters() const { return counters_; }
   const SteadyClock& clock() const { return clock_; }
 
  private:
   void OnPacket(const Packet& packet) override;
-  Packet ExchangeWord(bool answer) override;
+  Packet ExchangePacket(bool answer) override;
   void Tick();
-  void Carry(const Out& out);
-  void Show();
-  void Arm();
+  // Persists the voter's memory where asked for, then sends packets and begins exchanges.
+  void Dispatch(const Actions& actions);
+  void PublishIfChanged();
+  void ScheduleTick();
   void Close();
 
   const AgentOptions options_;
   PublishedSnapshot& published_;
-  const std::function<void()> told_;
+  const std::function<void()> on_change_;
   const SteadyClock clock_;
   const MemoryFile file_;
   Counters counters_;
-  Mailbox<FleetEvent> notes_;
-  Snapshot shown_;
-  Micros show_at_{0};
+  Mailbox<FleetEvent> events_;
+  Snapshot last_published_;
+  // Earliest time of the next publication.
+  Micros publish_at_{0};
+  // The last write of the voter's memory failed.
   bool memory_fails_ = false;
-  std::atomic<bool> list_{true}, clients_{true};
+  std::atomic<bool> list_{true};
+  std::atomic<bool> clients_{true};
   net::Loop loop_;
-  std::unique_ptr<net::Wakeup> ask_close_;  // the one handle that other threads may touch
+  // The only libuv handle that other threads may touch.
+  std::unique_ptr<net::Wakeup> close_request_;
   std::unique_ptr<Fleet> fleet_;
-  std::unique_ptr<Endpoint> endpoint_;
+  std::unique_ptr<Transport> transport_;
   std::unique_ptr<net::Timer> tick_;
   std::thread thread_;
 };
--- a/src/fleet/facts.cpp
+++ b/src/fleet/facts.cpp
@@ -5,10 +5,16 @@
 namespace indigosaddle::fleet {
 
 bool Facts::Merge(const Fact& fact) {
-  if (fact.key.empty() || fact.key.size() + fact.value.size() > kMostFactBytes) return ++turned_away_, false;
+  if (fact.key.empty() || fact.key.size() + fact.value.size() > kMaxFactBytes) {
+    ++rejected_;
+    return false;
+  }
   const auto it = facts_.find(fact.key);
   if (it == facts_.end()) {
-    if (facts_.size() >= kMostFacts) return ++turned_away_, false;
+    if (facts_.size() >= kMaxFacts) {
+      ++rejected_;
+      return false;
+    }
     facts_.emplace(fact.key, fact);
     return true;
   }
@@ -16,7 +22,7 @@
   const auto order = std::tie(fact.epoch, fact.version) <=> std::tie(held.epoch, held.version);
   if (order < 0) return false;
   if (order == 0) {
-    if (!(fact == held)) ++clashes_;
+    if (!(fact == held)) ++conflicts_;
     return false;
   }
   held = fact;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -5,13 +5,13 @@
 namespace indigosaddle::fleet {
 namespace {
 
-constexpr int kGossipsPerProbe = 5;  // while there is news, apart from what rides on pings
+constexpr int kGossipRoundsPerProbe = 5;  // while news is queued, apart from what is piggybacked on pings
 constexpr std::size_t kGossipFanOut = 3;
-constexpr std::size_t kLeaveTells = 8;
-constexpr int kRecallsPerTerm = 10;
-constexpr std::size_t kHeadBytes = 160;  // of a packet without its words, with names of full length
+constexpr std::size_t kLeaveFanOut = 8;
+constexpr int kRecoveryRequestsPerTerm = 10;
+constexpr std::size_t kHeaderBytes = 160;  // of a packet without items, with names of full length
 
-// Which voters a file names: order does not count, sites and addresses neither.
+// Hash of the voters that a file names, independent of their order, sites and addresses.
 std::uint64_t Fingerprint(std::vector<std::string> voters) {
   std::sort(voters.begin(), voters.end());
   std::uint64_t hash = 14695981039346656037ULL;  // FNV-1a
@@ -21,49 +21,50 @@
   return hash;
 }
 
-// Members whose files give them one seed must not draw the same waits: they would get in each other's way for
-// ever.
-FleetOptions Mixed(FleetOptions options) {
+// Mixes name and start number into the seed. Members whose files hold the same seed would otherwise draw the
+// same waiting times and collide with each other for ever.
+FleetOptions WithMixedSeed(FleetOptions options) {
   options.seed ^= Fingerprint({options.name}) ^ options.start * 0x9e3779b97f4a7c15ULL;
   return options;
 }
 
-std::vector<std::string> Voters(const std::vector<Peer>& roster, const std::string& but) {
+std::vector<std::string> VoterNames(const std::vector<Peer>& roster, const std::string& except) {
   std::vector<std::string> names;
   for (const Peer& peer : roster)
-    if (peer.votes && peer.name != but) names.push_back(peer.name);
+    if (peer.votes && peer.name != except) names.push_back(peer.name);
   return names;
 }
 
 }  // namespace
 
 Fleet::Fleet(FleetOptions options, Micros now)
-    : options_(Mixed(std::move(options))),
-      voters_(Voters(options_.roster, "")),
+    : options_(WithMixedSeed(std::move(options))),
+      voters_(VoterNames(options_.roster, "")),
       votes_(std::find(voters_.begin(), voters_.end(), options_.name) != voters_.end()),
       electorate_(Fingerprint(voters_)),
-      members_(options_.name, options_.start, options_.roster, options_.pace, gossip_),
-      prober_(members_, options_.pace, options_.seed, now),
-      contact_(options_.name, options_.roster, options_.pace, now),
-      sites_(options_.sites),
-      acceptor_(Voters(options_.roster, options_.name), options_.pace, options_.memory, now),
+      members_(options_.name, options_.start, options_.roster, options_.timing, gossip_),
+      prober_(members_, options_.timing, options_.seed, now),
+      quorum_contact_(options_.name, options_.roster, options_.timing, now),
+      site_monitor_(options_.sites),
+      acceptor_(VoterNames(options_.roster, options_.name), options_.timing, options_.memory, now),
       last_tick_(now),
       gossip_at_(now),
       exchange_at_(now),
-      recall_at_(now),
+      recovery_request_at_(now),
       refresh_at_(now) {
   for (const Peer& peer : options_.roster)
     if (peer.name == options_.name) site_ = peer.site;
   if (!votes_) return;
-  const auto [it, added] = proposers_.try_emplace(kCoordinator, options_.name, options_.start, kCoordinator,
-                                                  voters_, options_.pace, options_.seed + 1, options_.floor);
-  Proposer::Words none;
-  it->second.Want(true, now, none);
+  const auto [it, added] =
+      proposers_.try_emplace(kCoordinator, options_.name, options_.start, kCoordinator, voters_,
+                             options_.timing, options_.seed + 1, options_.floor);
+  Proposer::LeaseMessages none;
+  it->second.SetWanted(true, now, none);
 }
 
 Packet Fleet::Make(PacketKind kind) const {
   Packet packet;
-  const MemberWord self = members_.Self();
+  const MemberUpdate self = members_.Self();
   packet.kind = kind;
   packet.from = options_.name;
   packet.start = self.start;
@@ -73,113 +74,122 @@
 }
 
 void Fleet::Send(PacketKind kind, const std::string& to, std::uint64_t seq, const std::string& target,
-                 Out& out) {
+                 Actions& actions) {
   Packet packet = Make(kind);
   packet.seq = seq;
   packet.target = target;
-  std::size_t room = kMostDatagram - kHeadBytes;
-  // Whom we do not believe alive must hear so itself, to refute it.
+  std::size_t room = kMaxDatagramBytes - kHeaderBytes;
+  // A member that is not believed alive must learn so itself, to refute it.
   const Member& member = members_.all().at(to);
-  if (member.known && member.word.liveness != Liveness::kAlive) {
-    packet.members.push_back(member.word);
-    room -= BytesOf(member.word);
+  if (member.known && member.latest.liveness != Liveness::kAlive) {
+    packet.members.push_back(member.latest);
+    room -= MaxEncodedBytes(member.latest);
   }
   gossip_.Fill(packet, room, members_.all().size() + 1);
-  out.packets.emplace_back(to, std::move(packet));
+  actions.packets.emplace_back(to, std::move(packet));
 }
 
-void Fleet::Carry(const Prober::Asks& asks, Out& out) {
-  for (const Prober::Ask& ask : asks) Send(ask.kind, ask.to, ask.seq, ask.target, out);
+void Fleet::Dispatch(const Prober::ProbeMessages& messages, Actions& actions) {
+  for (const Prober::ProbeMessage& message : messages)
+    Send(message.kind, message.to, message.seq, message.target, actions);
 }
 
-void Fleet::Tick(Micros now, Out& out) {
-  // Far past what was due: this process stood still. What it missed is no sign against the others.
+void Fleet::Tick(Micros now, Actions& actions) {
+  // The tick comes long after it was due: this process stood still. Answers that it missed meanwhile are no
+  // evidence against the others.
   const Micros gap = now - std::max(last_tick_, std::min(NextDue(), now));
-  if (gap > options_.pace.probe_every) {
-    members_.Thaw(gap);
-    prober_.Thaw(gap);
+  if (gap > options_.timing.probe_every) {
+    members_.ShiftDeadlines(gap);
+    prober_.ShiftDeadlines(gap);
   }
   last_tick_ = now;
-  members_.Expire(now);
-  while (refuted_ < members_.refuted()) prober_.Refuted(), ++refuted_;
-  Prober::Asks asks;
-  prober_.Tick(now, asks);
-  contact_.Tick(now, prober_, asks);
-  Carry(asks, out);
+  members_.ExpireSuspicions(now);
+  while (refuted_ < members_.refuted()) {
+    prober_.OnRefutation();
+    ++refuted_;
+  }
+  Prober::ProbeMessages messages;
+  prober_.Tick(now, messages);
+  quorum_contact_.Tick(now, prober_, messages);
+  Dispatch(messages, actions);
   if (now >= gossip_at_ && !gossip_.empty()) {
-    gossip_at_ = now + options_.pace.probe_every / kGossipsPerProbe;
-    for (const std::string& name : prober_.Some(kGossipFanOut, ""))
-      Send(PacketKind::kGossip, name, 0, "", out);
+    gossip_at_ = now + options_.timing.probe_every / kGossipRoundsPerProbe;
+    for (const std::string& name : prober_.RandomMembers(kGossipFanOut, ""))
+      Send(PacketKind::kGossip, name, 0, "", actions);
   }
   if (now >= exchange_at_) {
-    exchange_at_ = now + (joined_ ? options_.pace.exchange_every : options_.pace.probe_every / 2);
-    // Every other one with somebody who is not present: that heals a cut whose two sides gave each other up.
+    exchange_at_ = now + (joined_ ? options_.timing.exchange_every : options_.timing.probe_every / 2);
+    // Every second exchange is with a member that is not present: that ends a partition whose two sides have
+    // declared each other dead.
     const bool lost = !joined_ || ++exchanges_ % 2 == 0;
-    auto with = prober_.Some(1, "", !lost);
-    if (with.empty()) with = prober_.Some(1, "", lost);
-    out.exchanges.insert(out.exchanges.end(), with.begin(), with.end());
+    auto with = prober_.RandomMembers(1, "", !lost);
+    if (with.empty()) with = prober_.RandomMembers(1, "", lost);
+    actions.exchanges.insert(actions.exchanges.end(), with.begin(), with.end());
   }
-  Refresh(now, out);
-  if (votes_ && acceptor_.Recalls() && now >= recall_at_) {
-    recall_at_ = now + options_.pace.lease / kRecallsPerTerm;
-    Proposer::Words words;
+  Refresh(now, actions);
+  if (votes_ && acceptor_.NeedsRecovery() && now >= recovery_request_at_) {
+    recovery_request_at_ = now + options_.timing.lease / kRecoveryRequestsPerTerm;
+    Proposer::LeaseMessages messages;
     for (const std::string& voter : voters_)
-      if (voter != options_.name) words.emplace_back(voter, acceptor_.RecallWord());
-    Carry(words, now, out);
+      if (voter != options_.name) messages.emplace_back(voter, acceptor_.RecoveryRequest());
+    Dispatch(messages, now, actions);
   }
-  Proposer::Words words;
+  Proposer::LeaseMessages messages;
   for (auto& [resource, proposer] : proposers_) {
-    if (!leaving_) proposer.Want(MayHold(now), now, words);
-    proposer.Tick(now, words);
+    if (!leaving_) proposer.SetWanted(MayHoldLeases(now), now, messages);
+    proposer.Tick(now, messages);
   }
-  Carry(words, now, out);
-  TellSight(now);
+  Dispatch(messages, now, actions);
+  PublishObservation(now);
   Coordinate(now);
 }
 
 Micros Fleet::NextDue() const {
-  Micros due = std::min({prober_.NextDue(), contact_.NextDue(), exchange_at_, members_.NextExpiry()});
-  if (touched_ && !Refreshed()) due = std::min(due, refresh_at_);
-  if (touched_) due = std::min(due, *contact_.Sure(last_tick_) + options_.pace.lease + Micros(1));
+  Micros due = std::min({prober_.NextDue(), quorum_contact_.NextDue(), exchange_at_, members_.NextExpiry()});
+  if (in_contact_ && !Refreshed()) due = std::min(due, refresh_at_);
+  if (in_contact_)
+    due = std::min(due, *quorum_contact_.LastConfirmed(last_tick_) + options_.timing.lease + Micros(1));
   if (!gossip_.empty()) due = std::min(due, gossip_at_);
-  if (votes_ && acceptor_.Recalls()) due = std::min(due, recall_at_);
+  if (votes_ && acceptor_.NeedsRecovery()) due = std::min(due, recovery_request_at_);
   for (const auto& [resource, proposer] : proposers_) due = std::min(due, proposer.NextDue());
   return due;
 }
 
 void Fleet::Merge(const Packet& packet, Micros now) {
-  members_.Hear({packet.from, packet.start, packet.incarnation, Liveness::kAlive, ""}, now);
-  for (const MemberWord& word : packet.members) members_.Hear(word, now);
+  members_.Apply({packet.from, packet.start, packet.incarnation, Liveness::kAlive, ""}, now);
+  for (const MemberUpdate& update : packet.members) members_.Apply(update, now);
   for (const Fact& fact : packet.facts)
     if (facts_.Merge(fact)) gossip_.Add(fact);
 }
 
-void Fleet::OnPacket(const Packet& packet, Micros now, Out& out) {
+void Fleet::OnPacket(const Packet& packet, Micros now, Actions& actions) {
   if (packet.from == options_.name || !members_.Knows(packet.from)) return;
-  // A packet of an earlier process of its sender may have been long on the way.
-  if (packet.start < members_.WordOf(packet.from).start) {
-    if (packet.kind == PacketKind::kPing) Send(PacketKind::kGossip, packet.from, 0, "", out);
+  // The packet is from an earlier process of its sender, delayed on the network.
+  if (packet.start < members_.LatestUpdate(packet.from).start) {
+    if (packet.kind == PacketKind::kPing) Send(PacketKind::kGossip, packet.from, 0, "", actions);
     return;
   }
   const bool voter = members_.all().at(packet.from).peer.votes;
   if (packet.electorate != electorate_ && (voter || votes_)) {
-    differed_ = now;
-    acceptor_.BeSilent(now + 2 * options_.pace.lease);
+    voters_differed_at_ = now;
+    acceptor_.SilenceUntil(now + 2 * options_.timing.lease);
   }
   Merge(packet, now);
-  Prober::Asks asks;
+  Prober::ProbeMessages messages;
   switch (packet.kind) {
     case PacketKind::kPing:
-      if (packet.target == options_.name) Send(PacketKind::kAck, packet.from, packet.seq, "", out);
+      if (packet.target == options_.name) Send(PacketKind::kAck, packet.from, packet.seq, "", actions);
       break;
     case PacketKind::kAck:
-      contact_.OnAck(packet.from, packet.seq);
-      prober_.OnAck(packet.from, packet.seq, asks);
+      quorum_contact_.OnAck(packet.from, packet.seq);
+      prober_.OnAck(packet.from, packet.seq, messages);
+      break;
+    case PacketKind::kPingReq:
+      prober_.OnPingReq(packet.from, packet.seq, packet.target, now, messages);
       break;
-    case PacketKind::kPingReq: prober_.OnPingReq(packet.from, packet.seq, packet.target, now, asks); break;
     case PacketKind::kNack: prober_.OnNack(packet.seq); break;
     case PacketKind::kLease:
-      if (packet.electorate == electorate_) OnLeases(packet, now, out);
+      if (packet.electorate == electorate_) OnLeases(packet, now, actions);
       break;
     case PacketKind::kExchange:
     case PacketKind::kExchangeReply:
@@ -188,24 +198,25 @@
       break;
     case PacketKind::kGossip: break;
   }
-  Carry(asks, out);
+  Dispatch(messages, actions);
 }
 
-Packet Fleet::ExchangeWord(bool answer) const {
+Packet Fleet::ExchangePacket(bool answer) const {
   Packet packet = Make(answer ? PacketKind::kExchangeReply : PacketKind::kExchange);
   for (const auto& [name, member] : members_.all())
-    if (member.known) packet.members.push_back(member.word);
+    if (member.known) packet.members.push_back(member.latest);
   for (const auto& [key, fact] : facts_.all()) packet.facts.push_back(fact);
   return packet;
 }
 
-void Fleet::Leave(Micros now, Out& out) {
+void Fleet::Leave(Micros now, Actions& actions) {
   leaving_ = true;
   members_.Leave();
-  Proposer::Words words;
-  for (auto& [resource, proposer] : proposers_) proposer.Want(false, now, words);
-  Carry(words, now, out);
-  for (const std::string& name : prober_.Some(kLeaveTells, "")) Send(PacketKind::kGossip, name, 0, "", out);
+  Proposer::LeaseMessages messages;
+  for (auto& [resource, proposer] : proposers_) proposer.SetWanted(false, now, messages);
+  Dispatch(messages, now, actions);
+  for (const std::string& name : prober_.RandomMembers(kLeaveFanOut, ""))
+    Send(PacketKind::kGossip, name, 0, "", actions);
 }
 
 }  // namespace indigosaddle::fleet
--- a/src/fleet/fleet_events.cpp
+++ b/src/fleet/fleet_events.cpp
@@ -4,11 +4,11 @@
 
 namespace indigosaddle::fleet {
 
-std::vector<FleetEvent> Notes(const Snapshot& before, const Snapshot& after) {
+std::vector<FleetEvent> EventsBetween(const Snapshot& before, const Snapshot& after) {
   using Kind = FleetEvent::Kind;
-  std::vector<FleetEvent> notes;
+  std::vector<FleetEvent> events;
   if (before.connectivity != after.connectivity)
-    notes.push_back({Kind::kConnectivity, NameOf(after.connectivity), "", after.present});
+    events.push_back({Kind::kConnectivity, NameOf(after.connectivity), "", after.present});
   std::map<std::string, MemberView> old;
   for (const MemberView& member : before.members) old.emplace(member.name, member);
   for (const MemberView& member : after.members) {
@@ -16,28 +16,29 @@
     const bool same = it != old.end() && it->second.known == member.known &&
                       it->second.liveness == member.liveness && it->second.start == member.start;
     if (member.known && !same)
-      notes.push_back({Kind::kMember, member.name, NameOf(member.liveness), member.start});
+      events.push_back({Kind::kMember, member.name, NameOf(member.liveness), member.start});
   }
   for (const auto& [resource, lease] : after.leases) {
     const auto it = before.leases.find(resource);
     if (it == before.leases.end() || it->second.epoch != lease.epoch)
-      notes.push_back({Kind::kLease, resource, "held", lease.epoch});
+      events.push_back({Kind::kLease, resource, "held", lease.epoch});
   }
   for (const auto& [resource, lease] : before.leases)
-    if (!after.leases.contains(resource)) notes.push_back({Kind::kLease, resource, "not held", lease.epoch});
-  for (const auto& [site, word] : after.sites) {
+    if (!after.leases.contains(resource)) events.push_back({Kind::kLease, resource, "not held", lease.epoch});
+  for (const auto& [site, status] : after.sites) {
     const auto it = before.sites.find(site);
-    const bool was_up = it == before.sites.end() && word.state == SiteState::kUp;
-    if (!was_up && (it == before.sites.end() || it->second.state != word.state))
-      notes.push_back({Kind::kSite, site, NameOf(word.state), static_cast<std::uint64_t>(word.losses)});
+    const bool was_up = it == before.sites.end() && status.state == SiteState::kUp;
+    if (!was_up && (it == before.sites.end() || it->second.state != status.state))
+      events.push_back({Kind::kSite, site, NameOf(status.state), static_cast<std::uint64_t>(status.losses)});
   }
   if (after.superseded && !before.superseded)
-    notes.push_back({Kind::kTrouble, "a later process has this one's name; it claims nothing more", "", 0});
+    events.push_back(
+        {Kind::kTrouble, "a later process has this node's name; this one holds no leases any more", "", 0});
   if (after.files_differ && !before.files_differ) {
-    notes.push_back(
-        {Kind::kTrouble, "a member's file names other voters; no lease is given until they agree", "", 0});
+    events.push_back(
+        {Kind::kTrouble, "a member's file names other voters; no lease is granted until they agree", "", 0});
   }
-  return notes;
+  return events;
 }
 
 }  // namespace indigosaddle::fleet
--- a/src/fleet/fleet_events.h
+++ b/src/fleet/fleet_events.h
@@ -1,4 +1,4 @@
-// What a change from one snapshot to the next is worth saying, for the log.
+// Changes from one snapshot to the next that are worth a log line.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,20 @@
 
 namespace indigosaddle::fleet {
 
+// One change.
 struct FleetEvent {
   enum class Kind : std::uint8_t { kMember, kConnectivity, kLease, kSite, kTrouble };
   Kind kind = Kind::kTrouble;
-  std::string subject;      // the member, the lease, the standing, the site, or the trouble
-  std::string state;        // its liveness, its state; "held" or "not held"
-  std::uint64_t value = 0;  // of a lease its epoch, of a standing the members present, of a site its losses
+  // The member's name, the connectivity, the lease, the site, or the text of the trouble.
+  std::string subject;
+  // The new liveness of a member or state of a site; of a lease "held" or "not held".
+  std::string state;
+  // A member's start number, a lease's epoch, the number of members present, or a site's losses.
+  std::uint64_t value = 0;
   bool operator==(const FleetEvent&) const = default;
 };
 
-std::vector<FleetEvent> Notes(const Snapshot& before, const Snapshot& after);
+// What changed between two snapshots of one process.
+std::vector<FleetEvent> EventsBetween(const Snapshot& before, const Snapshot& after);
 
 }  // namespace indigosaddle::fleet
--- a/src/fleet/fleet_sites.cpp
+++ b/src/fleet/fleet_sites.cpp
@@ -1,4 +1,5 @@
-// What a member sees of whole sites, and what the coordinator makes of all that is seen.
+// The part of Fleet that concerns sites: a member's own observations, and the coordinator's decisions from
+// the observations of all.
 #include <algorithm>
 
 #include "fleet/fleet.h"
@@ -6,71 +7,75 @@
 namespace indigosaddle::fleet {
 namespace {
 
-std::string SightKey(const std::string& member) { return "view/" + member; }
+std::string ObservationKey(const std::string& member) { return "view/" + member; }
 std::string SiteKey(const std::string& site) { return "site/" + site; }
 
 }  // namespace
 
-void Fleet::SetLocalConditions(bool list, bool clients) { has_list_ = list, has_clients_ = clients; }
+void Fleet::SetLocalConditions(bool list, bool clients) {
+  has_list_ = list;
+  has_clients_ = clients;
+}
 
-// Its own fact, under its own start number: nobody else writes it, and a later process goes before an
-// earlier.
-void Fleet::TellSight(Micros now) {
-  MemberSight sight;
-  sight.touch = touched_ && InTouch(now);
-  sight.list = has_list_;
-  sight.clients = has_clients_;
+// Writes this member's observation as a fact whose epoch is its start number: nobody else writes it, and the
+// fact of a later process overrides that of an earlier one.
+void Fleet::PublishObservation(Micros now) {
+  MemberObservation observation;
+  observation.in_contact = in_contact_ && InQuorumContact(now);
+  observation.has_list = has_list_;
+  observation.has_clients = has_clients_;
   std::map<std::string, int> seen;
   for (const auto& [name, member] : members_.all()) {
     if (member.known) seen.try_emplace(member.peer.site, 0).first->second += member.present();
   }
   for (const auto& [site, count] : seen)
-    if (count == 0 && site != site_) sight.unseen.push_back(site);
-  Write(SightKey(options_.name), sight.Text(), members_.start());
+    if (count == 0 && site != site_) observation.unseen_sites.push_back(site);
+  Write(ObservationKey(options_.name), observation.Serialize(), members_.start());
 }
 
-// Of every site, from one reading of each member's sight.
-std::map<std::string, SiteReport> Fleet::Reports() const {
-  std::map<std::string, SiteReport> reports;
-  for (const Peer& peer : options_.roster) ++reports[peer.site].members;
+// Counts the observations of all members, for every site.
+std::map<std::string, SiteTally> Fleet::TallySites() const {
+  std::map<std::string, SiteTally> tallies;
+  for (const Peer& peer : options_.roster) ++tallies[peer.site].members;
   const auto count = [&](const std::string& name, const std::string& at, bool present) {
     if (!present) return;
-    ++reports[at].present;
-    const Fact* fact = facts_.Find(SightKey(name));
-    const auto sight = fact != nullptr ? MemberSight::Parse(fact->value) : std::nullopt;
-    if (!sight) return;
-    reports[at].without_list += !sight->list;
-    reports[at].without_clients += !sight->clients;
-    if (!sight->touch) return;
-    for (auto& [site, report] : reports) {
+    ++tallies[at].present;
+    const Fact* fact = facts_.Find(ObservationKey(name));
+    const auto observation = fact != nullptr ? MemberObservation::Parse(fact->value) : std::nullopt;
+    if (!observation) return;
+    tallies[at].without_list += !observation->has_list;
+    tallies[at].without_clients += !observation->has_clients;
+    if (!observation->in_contact) return;
+    for (auto& [site, tally] : tallies) {
       if (site == at) {
-        ++report.touch;
+        ++tally.in_contact;
         continue;
       }
-      ++report.others;
-      report.accusers += std::find(sight->unseen.begin(), sight->unseen.end(), site) != sight->unseen.end();
+      ++tally.others;
+      tally.accusers += std::find(observation->unseen_sites.begin(), observation->unseen_sites.end(), site) !=
+                        observation->unseen_sites.end();
     }
   };
   count(options_.name, site_, true);
   for (const auto& [name, member] : members_.all()) count(name, member.peer.site, member.present());
-  return reports;
+  return tallies;
 }
 
 void Fleet::CoordinateSites(std::uint64_t epoch, Micros now) {
-  for (const auto& [site, report] : Reports()) {
+  for (const auto& [site, tally] : TallySites()) {
     const Fact* held = facts_.Find(SiteKey(site));
     if (held != nullptr && held->epoch > epoch) continue;
     const auto agreed = held != nullptr ? SiteStatus::Parse(held->value) : std::nullopt;
-    Write(SiteKey(site), sites_.Decide(site, report, agreed, now).Text(), epoch);
+    Write(SiteKey(site), site_monitor_.Decide(site, tally, agreed, now).Serialize(), epoch);
   }
 }
 
-// A fact of this member's own, or under a lease that it holds, where it says something new. `version` counts
-// within the epoch.
+// Writes a fact where its value is new: one of this member's own, or one under a lease that it holds. The
+// version counts within the epoch.
 void Fleet::Write(const std::string& key, const std::string& value, std::uint64_t epoch) {
   const Fact* held = facts_.Find(key);
   Fact fact{key, options_.name, value, epoch, 1};
-  if (held != nullptr && held->epoch > epoch) return;  // a later holder has written: this one is over
+  if (held != nullptr && held->epoch > epoch) return;  // a later holder has written it: this lease is over
   if (held != nullptr && held->epoch == epoch) {
     if (held->value == value) return;
     fact.version = held->version + 1;
@@ -82,8 +87,8 @@
   std::map<std::string, SiteStatus> sites;
   for (const Peer& peer : options_.roster) {
     const Fact* fact = facts_.Find(SiteKey(peer.site));
-    if (const auto word = fact != nullptr ? SiteStatus::Parse(fact->value) : std::nullopt)
-      sites[peer.site] = *word;
+    if (const auto status = fact != nullptr ? SiteStatus::Parse(fact->value) : std::nullopt)
+      sites[peer.site] = *status;
   }
   return sites;
 }
--- a/src/fleet/gossip.h
+++ b/src/fleet/gossip.h
@@ -1,6 +1,6 @@
-// What is new and must reach every member: words about members and facts, piggybacked on whatever is sent,
-// the least told first, each a number of times that grows with the logarithm of the fleet (SWIM,
-// section 4.1).
+// Queue of news that must reach every member: membership updates and facts. They are piggybacked on every
+// packet, those sent least often first, each a number of times that grows with the logarithm of the fleet's
+// size (SWIM, section 4.1).
 #pragma once
 
 #include <cstddef>
@@ -12,28 +12,34 @@
 
 namespace indigosaddle::fleet {
 
+// The news that this member still has to pass on.
 class Gossip {
  public:
-  void Add(const MemberWord& word);  // takes the place of an older word about the same
+  // Adds an item; it replaces an older one about the same member or key.
+  void Add(const MemberUpdate& update);
   void Add(const Fact& fact);
 
-  // Puts what fits into `bytes` of the packet. `members` is the size of the fleet.
+  // Adds items to the packet that fit into `bytes`. `members` is the size of the fleet.
   void Fill(Packet& packet, std::size_t bytes, std::size_t members);
   bool empty() const { return items_.empty(); }
   std::size_t size() const { return items_.size(); }
 
  private:
   struct Item {
-    std::variant<MemberWord, Fact> what;
-    int told = 0;
+    std::variant<MemberUpdate, Fact> content;
+    // How often it was sent.
+    int transmissions = 0;
+    // Position in the order in which items were added.
     std::uint64_t added = 0;
   };
+  // By "m/" and the member's name, or "f/" and the fact's key.
   std::map<std::string, Item> items_;
+  // Number of items added so far.
   std::uint64_t added_ = 0;
 };
 
-// Upper bounds of what a word takes on the wire.
-std::size_t BytesOf(const MemberWord& word);
-std::size_t BytesOf(const Fact& fact);
+// Upper bounds of the encoded size, in bytes.
+std::size_t MaxEncodedBytes(const MemberUpdate& update);
+std::size_t MaxEncodedBytes(const Fact& fact);
 
 }  // namespace indigosaddle::fleet
--- a/src/fleet/mailbox.h
+++ b/src/fleet/mailbox.h
@@ -1,4 +1,5 @@
-// Hands values from any thread to one that takes them all, oldest first, without a lock.
+// A lock-free queue that hands values from any thread to one consumer, which takes all of them at once,
+// oldest first.
 #pragma once
 
 #include <algorithm>
@@ -8,6 +9,7 @@
 
 namespace indigosaddle::fleet {
 
+// A linked stack that the consumer reverses.
 template <typename Value>
 class Mailbox {
  public:
@@ -16,28 +18,31 @@
   Mailbox(const Mailbox&) = delete;
   Mailbox& operator=(const Mailbox&) = delete;
 
+  // May be called from any thread.
   void Put(Value value) {
-    auto* letter = new Letter{std::move(value), head_.load(std::memory_order_relaxed)};  // freed by TakeAll
-    while (!head_.compare_exchange_weak(letter->below, letter, std::memory_order_release)) {
+    auto* node = new Node{std::move(value), head_.load(std::memory_order_relaxed)};  // freed by TakeAll
+    while (!head_.compare_exchange_weak(node->next, node, std::memory_order_release)) {
     }
   }
 
+  // Removes and returns all values, oldest first.
   std::vector<Value> TakeAll() {
     std::vector<Value> values;
-    for (Letter* letter = head_.exchange(nullptr, std::memory_order_acquire); letter != nullptr;) {
-      values.push_back(std::move(letter->value));
-      delete std::exchange(letter, letter->below);
+    for (Node* node = head_.exchange(nullptr, std::memory_order_acquire); node != nullptr;) {
+      values.push_back(std::move(node->value));
+      delete std::exchange(node, node->next);
     }
     std::reverse(values.begin(), values.end());
     return values;
   }
 
  private:
-  struct Letter {
+  struct Node {
     Value value;
-    Letter* below;
+    Node* next;
   };
-  std::atomic<Letter*> head_{nullptr};
+  // The newest value.
+  std::atomic<Node*> head_{nullptr};
 };
 
 }  // namespace indigosaddle::fleet
--- a/src/fleet/members.h
+++ b/src/fleet/members.h
@@ -1,6 +1,6 @@
-// What one member believes of all others: alive, suspected, dead, left. Suspicion with incarnation numbers
-// after SWIM (Das, Gupta, Motivala 2002), with Lifeguard's deadline that shrinks as others confirm (Dadgar,
-// Phillips, Currey 2018). A pure state machine.
+// What one member believes about all others: alive, suspected, dead or left. Suspicion with incarnation
+// numbers after SWIM (Das, Gupta, Motivala 2002), with Lifeguard's suspicion timeout that shrinks as other
+// members confirm the suspicion (Dadgar, Phillips, Currey 2018). A pure state machine.
 #pragma once
 
 #include <cstdint>
@@ -15,57 +15,79 @@
 
 namespace indigosaddle::fleet {
 
+// One other member as this process sees it.
 struct Member {
   Peer peer;
-  MemberWord word;
-  bool known = false;  // anything was ever heard of it
-  Micros since{0};     // in this liveness
-  bool present() const { return known && word.liveness <= Liveness::kSuspect; }
+  // The latest update about it.
+  MemberUpdate latest;
+  // False until anything was heard about it.
+  bool known = false;
+  // When its liveness or its process last changed.
+  Micros since{0};
+  // True where it is alive or suspected.
+  bool present() const { return known && latest.liveness <= Liveness::kSuspect; }
 };
 
+// The membership table. Adds every change to the gossip queue, which must outlive it.
 class Members {
  public:
-  Members(std::string self, std::uint64_t start, std::vector<Peer> roster, const Timing& pace,
+  Members(std::string self, std::uint64_t start, std::vector<Peer> roster, const Timing& timing,
           Gossip& gossip);
 
-  // A word from anybody. True where it changed what is believed.
-  bool Hear(const MemberWord& word, Micros now);
-  void Suspect(const std::string& name, Micros now);  // by our own probe
-  void Expire(Micros now);                            // suspicions that nobody refuted in time
-  Micros NextExpiry() const;                          // far off where nobody is suspected
-  void Thaw(Micros gap);  // this process stood still so long: that is no sign against others
-  void Leave();           // our last word; from here on nothing is refuted
+  // Takes in an update from any source. Returns true where it changed what is believed.
+  bool Apply(const MemberUpdate& update, Micros now);
+  // Suspects a member because this process's own probe failed.
+  void Suspect(const std::string& name, Micros now);
+  // Declares dead whoever did not refute a suspicion in time.
+  void ExpireSuspicions(Micros now);
+  // When the next suspicion expires; Micros::max() where nobody is suspected.
+  Micros NextExpiry() const;
+  // Extends all suspicions by `gap`: this process stood still so long, which is no evidence against others.
+  void ShiftDeadlines(Micros gap);
+  // Announces that this member leaves; from here on it refutes nothing.
+  void Leave();
 
-  MemberWord Self() const;
-  MemberWord WordOf(const std::string& name) const { return members_.at(name).word; }
-  const std::map<std::string, Member>& all() const { return members_; }  // others, by name
+  // What this member says about itself.
+  MemberUpdate Self() const;
+  // The latest update about another member. The name must be in the roster.
+  MemberUpdate LatestUpdate(const std::string& name) const { return members_.at(name).latest; }
+  // All other members, by name.
+  const std::map<std::string, Member>& all() const { return members_; }
+  // True for the other members of the roster.
   bool Knows(const std::string& name) const { return members_.contains(name); }
-  std::size_t present() const;  // with this one
-  // Our own suspicion was refuted so many times since the start: a sign that this process is slow.
+  // Members alive or suspected, this one included.
+  std::size_t present() const;
+  // How often this member refuted a suspicion of itself since its start: a sign that this process is slow.
   std::uint64_t refuted() const { return refuted_; }
-  // A later process has our name and lives: this one may hold and claim nothing more.
+  // True where a later process has this name and is alive: this one may hold and claim nothing more.
   bool superseded() const { return superseded_; }
+  // Start number of this process.
   std::uint64_t start() const { return start_; }
 
  private:
   struct Suspicion {
     std::set<std::string> accusers;
-    Micros from{0}, least{0}, most{0};
-    int needed = 0;  // confirmations that make it shortest
-    Micros due() const;
+    Micros began{0};
+    Micros min_timeout{0};
+    Micros max_timeout{0};
+    // Confirmations at which the timeout reaches `min_timeout`.
+    int expected_confirmations = 0;
+    Micros Deadline() const;
   };
-  void HearOfSelf(const MemberWord& word);
-  void Set(Member& member, const MemberWord& word, Micros now);
+  void ApplyAboutSelf(const MemberUpdate& update);
+  void Set(Member& member, const MemberUpdate& update, Micros now);
 
   const std::string self_;
   std::uint64_t start_;
   std::uint32_t incarnation_ = 0;
-  const Timing pace_;
+  const Timing timing_;
   Gossip& gossip_;
   std::map<std::string, Member> members_;
+  // By the suspected member's name.
   std::map<std::string, Suspicion> suspicions_;
   std::uint64_t refuted_ = 0;
-  bool leaving_ = false, superseded_ = false;
+  bool leaving_ = false;
+  bool superseded_ = false;
 };
 
 }  // namespace indigosaddle::fleet
--- a/src/fleet/memory_file.cpp
+++ b/src/fleet/memory_file.cpp
@@ -18,7 +18,7 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMostBytes = std::size_t{256} * 1024;
+constexpr std::size_t kMaxFileBytes = std::size_t{256} * 1024;
 
 std::uint64_t Sum(const std::string& text) { return XXH3_64bits(text.data(), text.size()); }
 
@@ -26,22 +26,23 @@
 
 MemoryFile::MemoryFile(const std::string& folder) : folder_(folder), path_(folder + "/fleet.memory") {}
 
-std::string MemoryFile::Text(const Memory& memory) {
+std::string MemoryFile::Serialize(const VoterMemory& memory) {
   json promised = json::array();
   for (const auto& [resource, ballot] : memory.promised)
     promised.push_back({resource, ballot.counter, ballot.proposer, ballot.start});
-  const json body = {{"version", 1}, {"start", memory.start}, {"sure", memory.sure}, {"promised", promised}};
+  const json body = {
+      {"version", 1}, {"start", memory.start}, {"sure", memory.complete}, {"promised", promised}};
   return json{{"body", body}, {"sum", Sum(body.dump())}}.dump() + "\n";
 }
 
-bool MemoryFile::Parse(std::string_view text, Memory& memory) {
+bool MemoryFile::Parse(std::string_view text, VoterMemory& memory) {
   try {
     const json whole = json::parse(text);
     const json& body = whole.at("body");
     if (whole.at("sum").get<std::uint64_t>() != Sum(body.dump()) || body.at("version") != 1) return false;
-    Memory read;
+    VoterMemory read;
     read.start = body.at("start").get<std::uint64_t>();
-    read.sure = body.at("sure").get<bool>();
+    read.complete = body.at("sure").get<bool>();
     for (const json& one : body.at("promised")) {
       read.promised[one.at(0).get<std::string>()] = {
           one.at(1).get<std::uint64_t>(), one.at(2).get<std::string>(), one.at(3).get<std::uint64_t>()};
@@ -53,7 +54,7 @@
   }
 }
 
-bool MemoryFile::Read(Memory& memory, std::string& trouble) const {
+bool MemoryFile::Read(VoterMemory& memory, std::string& trouble) const {
   trouble.clear();
   const base::Descriptor file(open(path_.c_str(), O_RDONLY | O_CLOEXEC));
   if (file.get() < 0) {
@@ -62,7 +63,7 @@
   }
   std::string text;
   std::array<char, 4096> block{};
-  for (ssize_t count = 0; text.size() <= kMostBytes;
+  for (ssize_t count = 0; text.size() <= kMaxFileBytes;
        text.append(block.data(), static_cast<std::size_t>(count))) {
     count = read(file.get(), block.data(), block.size());
     if (count < 0) trouble = std::strerror(errno);
@@ -73,11 +74,11 @@
   return false;
 }
 
-bool MemoryFile::Write(const Memory& memory) const {
+bool MemoryFile::Write(const VoterMemory& memory) const {
   const std::string beside = path_ + ".new";
   {
     const base::Descriptor file(open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
-    if (file.get() < 0 || !base::WriteAll(file.get(), Text(memory)) || fdatasync(file.get()) != 0)
+    if (file.get() < 0 || !base::WriteAll(file.get(), Serialize(memory)) || fdatasync(file.get()) != 0)
       return false;
   }
   if (std::rename(beside.c_str(), path_.c_str()) != 0) return false;
--- a/src/fleet/memory_file.h
+++ b/src/fleet/memory_file.h
@@ -1,6 +1,7 @@
-// What a voter must not forget, in one file of the state folder. Written whole beside the old one, synced and
-// renamed, so that the machine may go down at any instant. A file that is damaged is told apart from none and
-// counts as lost: the voter then asks the others.
+// Stores the state that a voter must keep (VoterMemory) in the file fleet.memory of the state folder. The new
+// content is written to a second file, synced and renamed, so that a crash at any instant leaves a whole
+// file. A damaged file is reported apart from a missing one, and counts as lost: the voter then asks the
+// others.
 #pragma once
 
 #include <string>
@@ -14,15 +15,20 @@
  public:
   explicit MemoryFile(const std::string& folder);
 
-  // True where the file was whole. `trouble` says what was wrong with one that is there; empty where none is.
-  bool Read(Memory& memory, std::string& trouble) const;
-  bool Write(const Memory& memory) const;  // false: not on the disk, and nothing may be promised
+  // Reads the file. Returns true where it was whole; else `trouble` says what is wrong with it, and is empty
+  // where there is no file.
+  bool Read(VoterMemory& memory, std::string& trouble) const;
+  // Returns false where the content is not on disk: then nothing may be promised.
+  bool Write(const VoterMemory& memory) const;
 
-  static std::string Text(const Memory& memory);
-  static bool Parse(std::string_view text, Memory& memory);
+  // The file's content: JSON with a checksum.
+  static std::string Serialize(const VoterMemory& memory);
+  // Returns false, and leaves `memory` as it is, where the text is damaged.
+  static bool Parse(std::string_view text, VoterMemory& memory);
 
  private:
-  std::string folder_, path_;
+  std::string folder_;
+  std::string path_;
 };
 
 }  // namespace indigosaddle::fleet
--- a/src/fleet/proposer.h
+++ b/src/fleet/proposer.h
@@ -1,6 +1,6 @@
-// The part of a process that wants a lease. It counts its lease from the instant at which its question left,
-// and for a term shortened by twice the bound on drift, so it stops before any voter's clock lets another
-// begin. A pure state machine.
+// The proposer side of leases: a process that wants to hold one. It counts its lease from the instant at
+// which its proposal was sent, and for a term shortened by twice the bound on clock drift, so that it stops
+// using the lease before any voter's clock lets another begin. A pure state machine.
 #pragma once
 
 #include <cstdint>
@@ -14,52 +14,76 @@
 
 namespace indigosaddle::fleet {
 
-// The span for which a holder may count on a lease whose voters keep to it for `term`, each by a clock that
-// is off by at most `drift`.
+// How long a holder may rely on a lease that voters grant for `term`, where every clock is off by at most
+// the share `drift`.
 Micros HolderTerm(Micros term, double drift);
 
+// Acquires, renews and releases the lease of one resource.
 class Proposer {
  public:
-  using Words = std::vector<std::pair<std::string, LeaseWord>>;  // by the voter's name; the own one too
+  // Messages to send, with the receiving voter's name, which may be this process's own.
+  using LeaseMessages = std::vector<std::pair<std::string, LeaseMessage>>;
 
-  // `voters`: all. `floor`: epochs start above it; a wall clock in seconds keeps them rising where every
-  // voter has lost its memory, and nothing rests on it otherwise.
+  // `voters` names all voters. Epochs start above `floor`: a wall clock in seconds keeps them rising where
+  // every voter has lost its memory, and nothing else depends on it.
   Proposer(std::string self, std::uint64_t start, std::string resource, std::vector<std::string> voters,
-           const Timing& pace, std::uint64_t seed, std::uint64_t floor);
+           const Timing& timing, std::uint64_t seed, std::uint64_t floor);
 
-  void Want(bool want, Micros now, Words& words);  // false: stops first, then says so
-  void Tick(Micros now, Words& words);
-  void On(const std::string& from, const LeaseWord& word, Micros now, Words& words);
+  // Starts or stops acquiring the lease. False gives up a held lease first, and then releases it.
+  void SetWanted(bool want, Micros now, LeaseMessages& messages);
+  // Does what is due; appends what is to be sent to `messages`.
+  void Tick(Micros now, LeaseMessages& messages);
+  // Handles an answer of the voter `from`.
+  void OnMessage(const std::string& from, const LeaseMessage& message, Micros now, LeaseMessages& messages);
+  // When Tick has to be called next; Micros::max() while the lease is not wanted.
   Micros NextDue() const;
 
+  // True while this process may act as the holder.
   bool Holds(Micros now) const { return now < until_; }
+  // End of the lease by the local clock.
   Micros until() const { return until_; }
-  // Of the lease held last: rises with each holder, and stays while one holds on without a gap.
+  // Epoch of the lease held last: rises with each holder, and stays while one holds it without a gap.
   std::uint64_t epoch() const { return epoch_; }
   const std::string& resource() const { return resource_; }
-  // All that decides what it does next, for the explorer of tests/fleet.
-  std::string State() const;
+  // Text of everything that decides what it does next; lease_explorer.h in tests/fleet compares states by it.
+  std::string StateKey() const;
 
  private:
   enum class Phase : std::uint8_t { kIdle, kPreparing, kProposing };
-  void Ask(LeaseKind kind, Micros now, Words& words);
-  void GiveUp(Micros next);
-  Micros Part(std::int64_t least, std::int64_t most);  // of a term, drawn, in hundredths
+  // Sends a message to all voters and starts a new round.
+  void Broadcast(LeaseKind kind, Micros now, LeaseMessages& messages);
+  void AbortRound(Micros next);
+  // A random part of the term, between two percentages.
+  Micros RandomTermPart(std::int64_t min_percent, std::int64_t max_percent);
 
   std::string self_;
   std::uint64_t start_;
   std::string resource_;
   std::vector<std::string> voters_;
-  Micros term_, holder_term_;
+  // Term by a voter's clock.
+  Micros term_;
+  // Term for which this process may rely on the lease.
+  Micros holder_term_;
   std::minstd_rand random_;
-  std::uint64_t counter_;  // highest seen
-  bool wants_ = false, prepared_ = false;
+  // Highest ballot counter seen.
+  std::uint64_t counter_;
+  bool wants_ = false;
+  // A majority promised `ballot_`, so that it can be proposed again to renew.
+  bool prepared_ = false;
   Phase phase_ = Phase::kIdle;
   Ballot ballot_;
+  // Number of the latest broadcast; answers to earlier ones are ignored.
   std::uint64_t round_ = 0;
-  std::set<std::string> answered_, blocked_;  // voters that are for it; at which another's lease runs
-  Ballot held_;                               // of the lease held last
-  Micros asked_{0}, ends_{0}, next_{0}, until_{Micros::min()};
+  // Voters that agreed in this round.
+  std::set<std::string> answered_;
+  // Voters at which another holder's lease runs.
+  std::set<std::string> blocked_;
+  // Ballot of the lease held last.
+  Ballot held_ballot_;
+  Micros round_began_{0};
+  Micros round_ends_{0};
+  Micros next_round_at_{0};
+  Micros until_{Micros::min()};
   std::uint64_t epoch_ = 0;
 };
 
--- a/src/fleet/published.h
+++ b/src/fleet/published.h
@@ -1,6 +1,6 @@
-// The latest snapshot of the fleet's thread, for other threads, by read-copy-update (liburcu, QSBR): to look
-// at it takes one load, no lock, no allocation, and never waits for the writer. The writer waits for readers
-// instead, before it frees an old one.
+// Publishes the fleet thread's latest snapshot to other threads by read-copy-update (liburcu, QSBR): a read
+// takes one load, without a lock or an allocation, and never waits for the writer. The writer instead waits
+// for readers before it frees an old snapshot.
 #pragma once
 
 #include <atomic>
@@ -10,17 +10,21 @@
 
 namespace indigosaddle::fleet {
 
+// Owns the current snapshot.
 class PublishedSnapshot {
  public:
   PublishedSnapshot();
-  ~PublishedSnapshot();  // no reader and no writer may be left
+  // No reader and no writer may be left.
+  ~PublishedSnapshot();
   PublishedSnapshot(const PublishedSnapshot&) = delete;
   PublishedSnapshot& operator=(const PublishedSnapshot&) = delete;
 
-  // One thread at a time; not one that reads. Waits until no reader can see the one before.
+  // Replaces the snapshot and waits until no reader can see the previous one. Called by one thread at a time,
+  // and not by one that reads.
   void Publish(std::unique_ptr<const Snapshot> snapshot);
 
-  // One a thread, made and ended on it. Between looks the thread rests and holds nobody up.
+  // Registers a reading thread. At most one per thread, created and destroyed on it. Outside its read
+  // sections the thread is offline and does not delay the writer.
   class Reader {
    public:
     explicit Reader(const PublishedSnapshot& published);
@@ -28,7 +32,8 @@
     Reader(const Reader&) = delete;
     Reader& operator=(const Reader&) = delete;
 
-    // While one lives, all that get() gave stays. Short: the writer waits for its end.
+    // A read-side critical section: what get() returned stays valid until it ends. Keep it short, because the
+    // writer waits for its end.
     class ReadSection {
      public:
       explicit ReadSection(const Reader& reader);
--- a/src/fleet/snapshot.h
+++ b/src/fleet/snapshot.h
@@ -1,4 +1,4 @@
-// What the fleet's thread tells the rest of the process: one immutable picture, replaced as a whole
+// What the fleet's thread tells the rest of the process: one immutable snapshot that is replaced as a whole
 // (published.h).
 #pragma once
 
@@ -15,52 +15,70 @@
 
 namespace indigosaddle::fleet {
 
-enum class Standing : std::uint8_t {
-  kJoining,    // never yet in touch with a majority of the voters
-  kConnected,  // in touch with a majority within a lease's term
-  kCutOff,     // no longer: this process is in the smaller part of a cut, or alone
+// Whether this process can rely on what is agreed.
+enum class Connectivity : std::uint8_t {
+  kJoining,    // never yet in contact with a majority of the voters
+  kConnected,  // in contact with a majority within a lease's term
+  kIsolated,   // no longer: this process is on the minority side of a partition, or alone
 };
-const char* NameOf(Standing connectivity);
+const char* NameOf(Connectivity connectivity);
 
+// Another member, as this process sees it.
 struct MemberView {
-  std::string name, site;
+  std::string name;
+  std::string site;
   Liveness liveness = Liveness::kDead;
+  // False until anything was heard about it.
   bool known = false;
+  // Start number of its process.
   std::uint64_t start = 0;
   bool operator==(const MemberView&) const = default;
 };
 
+// A lease that this process holds.
 struct LeaseView {
   std::uint64_t epoch = 0;
-  Micros until{Micros::min()};  // by the steady clock: held while now is before it
+  // End by the steady clock: held while now is before it.
+  Micros until{Micros::min()};
   bool operator==(const LeaseView&) const = default;
 };
 
 struct Snapshot {
-  std::uint64_t number = 0;  // counts up with each that is published
-  Standing connectivity = Standing::kJoining;
-  std::optional<Micros> sure;  // when a majority of the voters was last there for sure
-  std::size_t present = 1;     // members alive or suspected, with this one
-  // Members that may be sending, as agreed, but no fewer than are seen; nothing: not agreed yet.
+  // Rises with each snapshot that is published.
+  std::uint64_t number = 0;
+  Connectivity connectivity = Connectivity::kJoining;
+  // When a majority of the voters was last confirmed reachable.
+  std::optional<Micros> quorum_confirmed_at;
+  // Members alive or suspected, this one included.
+  std::size_t present = 1;
+  // Members that may be sending, as agreed, but no fewer than are seen; nothing where not agreed yet.
   std::optional<std::size_t> senders;
-  bool superseded = false;                  // another process has this one's name
-  bool files_differ = false;                // voters are not the same in all files: no lease is given or held
-  int health_penalty = 0;                   // Lifeguard's local health; 0 is well
-  std::vector<MemberView> members;          // others, by name
-  std::map<std::string, LeaseView> leases;  // held by this process
+  // Another, later process has this one's name.
+  bool superseded = false;
+  // The files of members name different voters: no lease is granted or held.
+  bool files_differ = false;
+  // See Prober::health_penalty; 0 is healthy.
+  int health_penalty = 0;
+  // The other members, by name.
+  std::vector<MemberView> members;
+  // Leases held by this process, by resource.
+  std::map<std::string, LeaseView> leases;
+  // All facts, by key.
   std::map<std::string, Fact> facts;
-  std::map<std::string, SiteStatus> sites;  // as agreed
+  // Agreed status of sites, by name.
+  std::map<std::string, SiteStatus> sites;
   bool operator==(const Snapshot&) const = default;
 };
 
-constexpr std::size_t kMostSenders = 10000;
+// Most senders that a fact may name.
+constexpr std::size_t kMaxSenders = 10000;
 
-// What the fact of agreed senders says; nothing where it is no count from 1 to kMostSenders.
+// Reads the value of the fact of agreed senders; nothing where it is no count from 1 to kMaxSenders.
 std::optional<std::size_t> ParseSenders(std::string_view text);
 
-// How many senders share a limit, where the operator's file says `by_file`. Too few would send over it, so
-// what is not sure (nothing agreed yet, or this process is cut off) counts as no fewer than the file says,
-// and no fewer than are seen.
+// How many senders share a limit, where the operator's file says `by_file`. Too low a number would exceed the
+// limit. So where the number is not reliable (nothing agreed yet, or this process is isolated), it is no
+// lower than the file says, and no lower than the members seen.
 std::size_t SendersToUse(const Snapshot& snapshot, std::size_t by_file);
 
 }  // namespace indigosaddle::fleet
--- a/src/fleet/transport.cpp
+++ b/src/fleet/transport.cpp
@@ -12,10 +12,10 @@
 namespace indigosaddle::fleet {
 namespace {
 
-constexpr Micros kExchangeTime = std::chrono::seconds(3);  // for a whole exchange
-constexpr std::size_t kMostExchanges = 16;                 // at once
-constexpr std::size_t kLengthBytes = 4;                    // in front of an exchange's packet, big-endian
-constexpr std::size_t kMostUdp = 60000;
+constexpr Micros kExchangeTimeout = std::chrono::seconds(3);  // of a whole exchange
+constexpr std::size_t kMaxExchanges = 16;                     // at once
+constexpr std::size_t kLengthBytes = 4;  // length prefix of an exchange's packet, big-endian
+constexpr std::size_t kMaxUdpBytes = 60000;
 
 std::string Framed(const std::string& bytes) {
   std::string out;
@@ -24,79 +24,83 @@
   return out + bytes;
 }
 
-// The packet behind its length; nothing while it is not whole. `broken` where it never will be.
+// The packet behind its length prefix; nothing while it is incomplete. Sets `broken` where the length is not
+// allowed.
 std::optional<std::string_view> Unframed(std::string_view bytes, bool& broken) {
   if (bytes.size() < kLengthBytes) return std::nullopt;
   std::size_t length = 0;
   for (std::size_t i = 0; i < kLengthBytes; ++i) length = length << 8 | static_cast<unsigned char>(bytes[i]);
-  broken = length == 0 || length > kMostExchangeBytes;
+  broken = length == 0 || length > kMaxExchangeBytes;
   if (broken || bytes.size() < kLengthBytes + length) return std::nullopt;
   return bytes.substr(kLengthBytes, length);
 }
 
 }  // namespace
 
-// One connection for one exchange: the asker writes its packet first, the other answers with its own.
-class Endpoint::Exchange : public net::Stream::Listener {
+// One connection for one exchange: the initiator writes its packet first, the other answers with its own.
+class Transport::Exchange : public net::Stream::Listener {
  public:
-  Exchange(Endpoint& endpoint, bool asks)
-      : endpoint_(endpoint),
-        stream_(endpoint.loop_, *this),
-        asks_(asks),
-        ends_(endpoint.loop_.Now() + kExchangeTime) {}
+  Exchange(Transport& transport, bool initiator)
+      : transport_(transport),
+        stream_(transport.loop_, *this),
+        initiator_(initiator),
+        deadline_(transport.loop_.Now() + kExchangeTimeout) {}
 
   net::Stream& stream() { return stream_; }
-  Micros ends() const { return ends_; }
-  bool over() const { return over_; }
-  bool good() const { return good_; }
-  void Over() { over_ = true, endpoint_.sweep_->Start(Micros(0)); }  // not within its own callback
+  Micros deadline() const { return deadline_; }
+  bool finished() const { return finished_; }
+  bool succeeded() const { return succeeded_; }
+  void Finish() {
+    finished_ = true;
+    transport_.sweep_->Start(Micros(0));  // destroyed by the sweep, not within its own callback
+  }
 
   void OnConnected(int error) override {
-    if (error != 0 || stream_.StartReading() != 0) return Over();
-    Say(endpoint_.handler_.ExchangeWord(false));
+    if (error != 0 || stream_.StartReading() != 0) return Finish();
+    WritePacket(transport_.handler_.ExchangePacket(false));
   }
   void OnBytes(std::string_view bytes) override {
-    if (over_ || heard_) return;
+    if (finished_ || received_) return;
     bytes_ += bytes;
     bool broken = false;
     const auto whole = Unframed(bytes_, broken);
-    if (broken) return Over();
+    if (broken) return Finish();
     if (!whole) return;
-    heard_ = true;
-    endpoint_.counters_.bytes_in += bytes_.size();
+    received_ = true;
+    transport_.counters_.bytes_in += bytes_.size();
     const auto packet = Decode(*whole);
-    const PacketKind due = asks_ ? PacketKind::kExchangeReply : PacketKind::kExchange;
+    const PacketKind expected_kind = initiator_ ? PacketKind::kExchangeReply : PacketKind::kExchange;
     sockaddr_storage from{};
-    const bool known = packet && packet->kind == due && stream_.PeerAddress(from) &&
-                       endpoint_.Heard(*packet, reinterpret_cast<const sockaddr*>(&from), false);
+    const bool known = packet && packet->kind == expected_kind && stream_.PeerAddress(from) &&
+                       transport_.SourceMatches(*packet, reinterpret_cast<const sockaddr*>(&from), false);
     if (!known) {
-      ++endpoint_.counters_.unreadable;
-      return Over();
+      ++transport_.counters_.unreadable;
+      return Finish();
     }
-    good_ = true;
-    endpoint_.handler_.OnPacket(*packet);
-    if (asks_) return Over();
-    Say(endpoint_.handler_.ExchangeWord(true));
+    succeeded_ = true;
+    transport_.handler_.OnPacket(*packet);
+    if (initiator_) return Finish();
+    WritePacket(transport_.handler_.ExchangePacket(true));
   }
-  void OnEnd(int /*error*/) override { Over(); }
+  void OnEnd(int /*error*/) override { Finish(); }
 
  private:
-  void Say(const Packet& packet) {
+  void WritePacket(const Packet& packet) {
     std::string bytes = Framed(Encode(packet));
-    endpoint_.counters_.bytes_out += bytes.size();
-    if (stream_.Write(std::move(bytes)) != 0) Over();
+    transport_.counters_.bytes_out += bytes.size();
+    if (stream_.Write(std::move(bytes)) != 0) Finish();
   }
 
-  Endpoint& endpoint_;
+  Transport& transport_;
   net::Stream stream_;
-  const bool asks_;
-  const Micros ends_;
-  bool over_ = false, heard_ = false, good_ = false;
+  const bool initiator_;
+  const Micros deadline_;
+  bool finished_ = false, received_ = false, succeeded_ = false;
   std::string bytes_;
 };
 
-Endpoint::Endpoint(net::Loop& loop, Handler& handler, const std::vector<Peer>& roster,
-                   const std::string& self, Counters& counters)
+Transport::Transport(net::Loop& loop, Handler& handler, const std::vector<Peer>& roster,
+                     const std::string& self, Counters& counters)
     : loop_(loop), handler_(handler), counters_(counters) {
   for (const Peer& peer : roster) {
     Address address;
@@ -107,19 +111,19 @@
   sweep_ = std::make_unique<net::Timer>(loop, [this] {
     const Micros now = loop_.Now();
     std::erase_if(exchanges_, [&](const auto& exchange) {
-      const bool over = exchange->over() || now >= exchange->ends();
-      if (over) ++(exchange->good() ? counters_.exchanges : counters_.exchanges_failed);
-      return over;
+      const bool finished = exchange->finished() || now >= exchange->deadline();
+      if (finished) ++(exchange->succeeded() ? counters_.exchanges : counters_.exchanges_failed);
+      return finished;
     });
     ArmSweep();
   });
 }
 
-void Endpoint::ArmSweep() {  // the first began first
-  if (!exchanges_.empty()) sweep_->Start(exchanges_.front()->ends() - loop_.Now());
+void Transport::ArmSweep() {  // the first has the earliest deadline
+  if (!exchanges_.empty()) sweep_->Start(exchanges_.front()->deadline() - loop_.Now());
 }
 
-Endpoint::~Endpoint() {
+Transport::~Transport() {
   exchanges_.clear();
   const auto close = [](uv_handle_t* handle, uv_close_cb closed) {
     handle->data = nullptr;
@@ -135,14 +139,14 @@
   }
 }
 
-std::string Endpoint::Listen(const std::string& address) {
+std::string Transport::Listen(const std::string& address) {
   if (!net::ParseAddress(address, own_)) return "expected ip:port";
   const auto* where = reinterpret_cast<const sockaddr*>(&own_);
   tcp_ = new uv_tcp_t{};
   uv_tcp_init(loop_.raw(), tcp_);
   tcp_->data = this;
   const auto accept = [](uv_stream_t* server, int status) {
-    if (status == 0 && server->data != nullptr) static_cast<Endpoint*>(server->data)->Accept();
+    if (status == 0 && server->data != nullptr) static_cast<Transport*>(server->data)->Accept();
   };
   int error = uv_tcp_bind(tcp_, where, 0);
   if (error == 0) error = uv_listen(reinterpret_cast<uv_stream_t*>(tcp_), 64, accept);
@@ -158,13 +162,13 @@
   const auto receive = [](uv_udp_t* udp, ssize_t count, const uv_buf_t* buffer, const sockaddr* from,
                           unsigned) {
     if (count > 0 && from != nullptr && udp->data != nullptr)
-      static_cast<Endpoint*>(udp->data)->OnDatagram({buffer->base, static_cast<std::size_t>(count)}, from);
+      static_cast<Transport*>(udp->data)->OnDatagram({buffer->base, static_cast<std::size_t>(count)}, from);
   };
   if (error == 0) error = uv_udp_recv_start(udp_, space, receive);
   return error == 0 ? "" : uv_strerror(error);
 }
 
-bool Endpoint::Heard(const Packet& packet, const sockaddr* from, bool with_port) const {
+bool Transport::SourceMatches(const Packet& packet, const sockaddr* from, bool with_port) const {
   const auto it = addresses_.find(packet.from);
   if (it == addresses_.end() || it->second.at.ss_family != from->sa_family) return false;
   if (from->sa_family == AF_INET6) {
@@ -178,43 +182,44 @@
   return a.sin_addr.s_addr == b.sin_addr.s_addr && (!with_port || a.sin_port == b.sin_port);
 }
 
-void Endpoint::OnDatagram(std::string_view bytes, const sockaddr* from) {
+void Transport::OnDatagram(std::string_view bytes, const sockaddr* from) {
   ++counters_.packets_in;
   counters_.bytes_in += bytes.size();
   const auto packet = Decode(bytes);
   const bool exchange = packet && packet->kind >= PacketKind::kExchange;
-  if (!packet || exchange || !Heard(*packet, from, true)) {
+  if (!packet || exchange || !SourceMatches(*packet, from, true)) {
     ++counters_.unreadable;
     return;
   }
   handler_.OnPacket(*packet);
 }
 
-// A datagram that the system does not take at once is lost, as on the network.
-void Endpoint::Send(const std::string& to, const Packet& packet) {
+// A datagram that the kernel does not take at once counts as lost on the network.
+void Transport::Send(const std::string& to, const Packet& packet) {
   const auto it = addresses_.find(to);
   if (it == addresses_.end() || udp_ == nullptr) return;
   std::string bytes = Encode(packet);
-  if (bytes.size() > kMostUdp) return;
+  if (bytes.size() > kMaxUdpBytes) return;
   const uv_buf_t buffer = uv_buf_init(bytes.data(), static_cast<unsigned>(bytes.size()));
   if (uv_udp_try_send(udp_, &buffer, 1, reinterpret_cast<const sockaddr*>(&it->second.at)) < 0) return;
   ++counters_.packets_out;
   counters_.bytes_out += bytes.size();
 }
 
-void Endpoint::BeginExchange(const std::string& with) {
+void Transport::BeginExchange(const std::string& with) {
   const auto it = addresses_.find(with);
-  if (it == addresses_.end() || exchanges_.size() >= kMostExchanges) return;
+  if (it == addresses_.end() || exchanges_.size() >= kMaxExchanges) return;
   auto& exchange = *exchanges_.emplace_back(std::make_unique<Exchange>(*this, true));
   if (exchange.stream().ComeFrom(own_) != 0 || exchange.stream().Connect(it->second.text) != 0)
-    return exchange.Over();
+    return exchange.Finish();
   ArmSweep();
 }
 
-void Endpoint::Accept() {
+void Transport::Accept() {
   auto exchange = std::make_unique<Exchange>(*this, false);
   if (exchange->stream().Accept(reinterpret_cast<uv_stream_t*>(tcp_)) != 0) return;
-  if (exchanges_.size() >= kMostExchanges || exchange->stream().StartReading() != 0) return;  // closed here
+  if (exchanges_.size() >= kMaxExchanges || exchange->stream().StartReading() != 0)
+    return;  // closed by its destructor
   exchanges_.push_back(std::move(exchange));
   ArmSweep();
 }
--- a/src/fleet/transport.h
+++ b/src/fleet/transport.h
@@ -1,5 +1,6 @@
-// Sockets of one member: datagrams and exchanges, on the fleet's own loop. Bytes in, packets out; who may be
-// heard is checked here by the address that the operator's file gives for the name a packet claims.
+// The sockets of one member, on the fleet's own event loop: datagrams over UDP, and state exchanges over TCP
+// (one request packet and one reply packet per connection). Checks that a packet comes from the address that
+// the operator's file gives for the sender's name.
 #pragma once
 
 #include <uv.h>
@@ -18,50 +19,69 @@
 
 namespace indigosaddle::fleet {
 
-// Since the start; read from any thread.
+// Counts since the start; may be read from any thread.
 struct Counters {
-  std::atomic<std::uint64_t> packets_in{0}, packets_out{0}, bytes_in{0}, bytes_out{0};
-  std::atomic<std::uint64_t> unreadable{0};  // no packet, or from an address that is not its sender's
-  std::atomic<std::uint64_t> exchanges{0}, exchanges_failed{0};
+  std::atomic<std::uint64_t> packets_in{0};
+  std::atomic<std::uint64_t> packets_out{0};
+  std::atomic<std::uint64_t> bytes_in{0};
+  std::atomic<std::uint64_t> bytes_out{0};
+  // Received bytes that are no packet, or a packet from an address that is not its sender's.
+  std::atomic<std::uint64_t> unreadable{0};
+  std::atomic<std::uint64_t> exchanges{0};
+  std::atomic<std::uint64_t> exchanges_failed{0};
 };
 
-class Endpoint {
+// Sends and receives packets. Used from the loop's thread only, apart from the counters.
+class Transport {
  public:
+  // Receives what arrives; must outlive the transport.
   class Handler {
    public:
     virtual ~Handler() = default;
     virtual void OnPacket(const Packet& packet) = 0;
-    virtual Packet ExchangeWord(bool answer) = 0;
+    // Returns the packet to send in an exchange: the reply (`answer`) or the request.
+    virtual Packet ExchangePacket(bool answer) = 0;
   };
 
-  Endpoint(net::Loop& loop, Handler& handler, const std::vector<Peer>& roster, const std::string& self,
-           Counters& counters);
-  ~Endpoint();
-  Endpoint(const Endpoint&) = delete;
-  Endpoint& operator=(const Endpoint&) = delete;
+  // `self` is this member's name in `roster`.
+  Transport(net::Loop& loop, Handler& handler, const std::vector<Peer>& roster, const std::string& self,
+            Counters& counters);
+  ~Transport();
+  Transport(const Transport&) = delete;
+  Transport& operator=(const Transport&) = delete;
 
-  std::string Listen(const std::string& address);  // why not; empty: it listens, for both
+  // Listens on `address` (ip:port) for datagrams and exchanges. Returns the reason for a failure; empty on
+  // success.
+  std::string Listen(const std::string& address);
+  // Sends a datagram to the named member. Errors are ignored, as a lost datagram is.
   void Send(const std::string& to, const Packet& packet);
+  // Opens a connection to the named member and exchanges all known state. Ignored at the limit.
   void BeginExchange(const std::string& with);
 
  private:
   class Exchange;
   struct Address {
     sockaddr_storage at{};
+    // ip:port, as in the operator's file.
     std::string text;
   };
   void OnDatagram(std::string_view bytes, const sockaddr* from);
   void Accept();
+  // Schedules the removal of the exchange whose deadline is first.
   void ArmSweep();
-  bool Heard(const Packet& packet, const sockaddr* from, bool with_port) const;
+  // True where `from` is the address of the member that the packet names as its sender.
+  bool SourceMatches(const Packet& packet, const sockaddr* from, bool with_port) const;
 
   net::Loop& loop_;
   Handler& handler_;
   Counters& counters_;
+  // Addresses of the other members, by name.
   std::map<std::string, Address> addresses_;
   uv_udp_t* udp_ = nullptr;
   uv_tcp_t* tcp_ = nullptr;
-  sockaddr_storage own_{};  // where it listens, and where its exchanges come from
+  // Address to listen on, and source address of outgoing exchanges.
+  sockaddr_storage own_{};
+  // Running exchanges, oldest first.
   std::list<std::unique_ptr<Exchange>> exchanges_;
   std::unique_ptr<net::Timer> sweep_;
 };
--- a/src/fleet/types.cpp
+++ b/src/fleet/types.cpp
@@ -12,9 +12,9 @@
   return "?";
 }
 
-bool Newer(const MemberWord& a, const MemberWord& b) {
+bool Supersedes(const MemberUpdate& a, const MemberUpdate& b) {
   if (a.start != b.start) return a.start > b.start;
-  // A process that has left says nothing more, whatever incarnation an old word names.
+  // A process that has left makes no further statements, whatever incarnation an old update names.
   if ((a.liveness == Liveness::kLeft) != (b.liveness == Liveness::kLeft))
     return a.liveness == Liveness::kLeft;
   return std::tie(a.incarnation, a.liveness) > std::tie(b.incarnation, b.liveness);
--- a/src/fleet/types.h
+++ b/src/fleet/types.h
@@ -1,6 +1,6 @@
-// What the processes of one fleet tell each other, as plain types. The files of src/fleet decide without I/O
-// and without a clock: time is an argument, from one steady clock of the process (SteadyClock of agent.h).
-// What crosses the network is coded in wire.h; sockets and the thread are in agent.h.
+// Plain types of what the processes of one fleet send each other. The files of src/fleet decide without I/O
+// and without reading a clock: time is an argument, from one steady clock of the process (SteadyClock of
+// agent.h). wire.h encodes these types; the sockets are in transport.h and the thread is in agent.h.
 #pragma once
 
 #include <chrono>
@@ -15,40 +15,48 @@
 
 using Micros = std::chrono::microseconds;
 
-// A process that the operator's file names. What comes from elsewhere is not heard. A voter has a say in
-// leases.
+// A process that the operator's file names; packets of others are ignored.
 struct Peer {
-  std::string name, site, address;
+  std::string name;
+  std::string site;
+  // ip:port.
+  std::string address;
+  // True for a voter (acceptor of leases).
   bool votes = true;
 };
 
-// Of one incarnation a word further down goes before one further up.
+// Within one incarnation, a value further down overrides one further up.
 enum class Liveness : std::uint8_t { kAlive, kSuspect, kDead, kLeft };
 const char* NameOf(Liveness liveness);
 
-// What is believed of one member. `start` numbers the processes of one name, `incarnation` the words of one
-// process about itself: only it raises that, to refute.
-struct MemberWord {
+// A statement about one member, as gossip carries it.
+struct MemberUpdate {
   std::string name;
+  // Numbers the processes of one name.
   std::uint64_t start = 0;
+  // Numbers the statements of one process about itself: only the process itself raises it, to refute.
   std::uint32_t incarnation = 0;
   Liveness liveness = Liveness::kAlive;
-  std::string accuser;  // who suspects; else empty
-  bool operator==(const MemberWord&) const = default;
+  // Who suspects; otherwise empty.
+  std::string accuser;
+  bool operator==(const MemberUpdate&) const = default;
 };
 
-// Whether `a` is the later word about one member.
-bool Newer(const MemberWord& a, const MemberWord& b);
+// Whether `a` is a later statement than `b` about the same member.
+bool Supersedes(const MemberUpdate& a, const MemberUpdate& b);
 
-// Something agreed that all members keep a copy of. Its one owner writes it; a higher epoch (of the lease
-// under which it was written) goes before a lower one, then a higher version.
+// An agreed value of which all members keep a copy. Only its owner writes it; a higher epoch (of the lease
+// under which it was written) overrides a lower one, then a higher version.
 struct Fact {
-  std::string key, owner, value;
-  std::uint64_t epoch = 0, version = 0;
+  std::string key;
+  std::string owner;
+  std::string value;
+  std::uint64_t epoch = 0;
+  std::uint64_t version = 0;
   bool operator==(const Fact&) const = default;
 };
 
-// Orders attempts at a lease. No two are equal: a counter is used once by a process, and `start` tells the
+// Orders the attempts at a lease. No two are equal: a process uses a counter once, and `start` tells the
 // processes of one name apart.
 struct Ballot {
   std::uint64_t counter = 0;
@@ -57,65 +65,84 @@
   auto operator<=>(const Ballot&) const = default;
 };
 
+// The numbers are sent on the wire.
 enum class LeaseKind : std::uint8_t {
-  kPrepare,    // to a voter: promise to heed no ballot under this one
-  kPromise,    // promised; `accepted` is the lease that runs, if any
-  kReject,     // a higher ballot was promised: `accepted`
-  kPropose,    // to a voter: the lease is the proposer's from now on, for its term
-  kAccept,     // so it is
-  kRelease,    // to a voter: the proposer has stopped using it
-  kRecall,     // a voter that lost its memory asks the others
-  kRecollect,  // the highest ballot promised for `resource`; `memory` whether this voter has one itself
+  kPrepare,          // to a voter: promise to accept no ballot lower than this one
+  kPromise,          // promised; `accepted` is the running lease, if any
+  kReject,           // a higher ballot was promised: `accepted`
+  kPropose,          // to a voter: grant the lease to the proposer from now on, for its term
+  kAccept,           // granted
+  kRelease,          // to a voter: the proposer has stopped using the lease
+  kRecoveryRequest,  // a voter that lost its memory asks the others
+  kRecoveryReply,    // the highest ballot promised for `resource`
 };
 
-struct LeaseWord {
+// One message between a proposer and a voter, or between voters.
+struct LeaseMessage {
   LeaseKind kind = LeaseKind::kPrepare;
   std::string resource;
   Ballot ballot;
-  std::uint64_t round = 0;  // of the proposer, echoed: an old answer never counts for a new question
-  Ballot accepted;          // counter 0: none
-  bool memory = false;
-  bool operator==(const LeaseWord&) const = default;
+  // Round of the proposer, echoed in answers, so that an old answer never counts for a new request.
+  std::uint64_t round = 0;
+  // Counter 0 means none.
+  Ballot accepted;
+  // In a kRecoveryReply: the sender's own memory is complete.
+  bool has_memory = false;
+  bool operator==(const LeaseMessage&) const = default;
 };
 
+// The numbers are sent on the wire.
 enum class PacketKind : std::uint8_t {
   kPing,
   kAck,
-  kPingReq,  // ping `target` for me
-  kNack,     // `target` did not answer me; but I am here
+  kPingReq,  // asks the receiver to ping `target` for the sender
+  kNack,     // `target` did not answer, but the relay is reachable
   kGossip,
   kLease,
-  kExchange,  // all that I know; answered by kExchangeReply
+  kExchange,  // all that the sender knows; answered by kExchangeReply
   kExchangeReply,
 };
 
+// One datagram, or one side of an exchange.
 struct Packet {
   PacketKind kind = PacketKind::kPing;
   std::string from;
-  std::uint64_t start = 0;  // of the sender, with its incarnation: it lives
+  // Start number and incarnation of the sender, which shows that it is alive.
+  std::uint64_t start = 0;
   std::uint32_t incarnation = 0;
-  std::uint64_t electorate = 0;  // fingerprint of the sender's voters
-  std::uint64_t seq = 0;         // of a ping and its answers
-  std::string target;            // of a ping: whom it is meant for
-  std::vector<MemberWord> members;
+  // Fingerprint of the voters that the sender's file names.
+  std::uint64_t electorate = 0;
+  // Number of a ping, echoed in its answers.
+  std::uint64_t seq = 0;
+  // Of a ping: whom it is meant for.
+  std::string target;
+  std::vector<MemberUpdate> members;
   std::vector<Fact> facts;
-  std::vector<LeaseWord> leases;
+  std::vector<LeaseMessage> leases;
   bool operator==(const Packet&) const = default;
 };
 
+// Intervals and timeouts of the protocols.
 struct Timing {
   Micros probe_every{std::chrono::seconds(1)};
-  Micros probe_timeout{std::chrono::milliseconds(300)};  // until a direct ping counts as unanswered
-  Micros exchange_every{std::chrono::seconds(30)};       // all that is known, with one member
-  Micros lease{std::chrono::seconds(10)};                // term of a lease by a voter's clock
-  double drift = 0.01;  // most by which any steady clock runs fast or slow, as a share
+  // Until a direct ping counts as unanswered.
+  Micros probe_timeout{std::chrono::milliseconds(300)};
+  // Between exchanges of all known state with one other member.
+  Micros exchange_every{std::chrono::seconds(30)};
+  // Term of a lease by a voter's clock.
+  Micros lease{std::chrono::seconds(10)};
+  // Largest share by which any steady clock runs fast or slow.
+  double drift = 0.01;
 };
 
-// What a state machine wants done, in this order.
-struct Out {
-  bool remember = false;  // the voter's memory is to be on the disk before any packet leaves
-  std::vector<std::pair<std::string, Packet>> packets;  // datagrams, by the name of who gets them
-  std::vector<std::string> exchanges;                   // begin one with each
+// What a state machine asks its caller to do, in this order.
+struct Actions {
+  // The voter's memory must be on disk before any packet is sent.
+  bool persist = false;
+  // Datagrams to send, with the receiver's name.
+  std::vector<std::pair<std::string, Packet>> packets;
+  // Members with which to begin an exchange.
+  std::vector<std::string> exchanges;
 };
 
 }  // namespace indigosaddle::fleet
--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -16,31 +16,31 @@
 }
 
 bool IsName(const std::string& text, bool may_be_empty) {
-  return text.size() <= kMostName && (may_be_empty || !text.empty());
+  return text.size() <= kMaxNameBytes && (may_be_empty || !text.empty());
 }
 
-// Numbers of processes, ballots and facts begin at 1, and the next one behind the highest is one too.
-bool IsNumber(std::uint64_t number) { return number > 0 && number <= kMostNumber; }
+// Start numbers, ballot counters, epochs and versions begin at 1; the limit leaves room for the next one.
+bool IsNumber(std::uint64_t number) { return number > 0 && number <= kMaxNumber; }
 
-bool IsIncarnation(std::uint32_t number) { return number <= kMostIncarnation; }
+bool IsIncarnation(std::uint32_t number) { return number <= kMaxIncarnation; }
 
-std::optional<MemberWord> Read(const pb::MemberWord& from) {
+std::optional<MemberUpdate> Read(const pb::MemberWord& from) {
   if (!IsName(from.name(), false) || !IsNumber(from.start()) || !IsIncarnation(from.incarnation()))
     return std::nullopt;
   if (from.liveness() > static_cast<std::uint32_t>(Liveness::kLeft)) return std::nullopt;
   const auto liveness = static_cast<Liveness>(from.liveness());
   if (!IsName(from.accuser(), liveness != Liveness::kSuspect)) return std::nullopt;
-  return MemberWord{from.name(), from.start(), from.incarnation(), liveness, from.accuser()};
+  return MemberUpdate{from.name(), from.start(), from.incarnation(), liveness, from.accuser()};
 }
 
 std::optional<Fact> Read(const pb::Fact& from) {
-  if (from.key().empty() || from.key().size() + from.value().size() > kMostFactBytes) return std::nullopt;
+  if (from.key().empty() || from.key().size() + from.value().size() > kMaxFactBytes) return std::nullopt;
   if (!IsName(from.owner(), false) || !IsNumber(from.epoch()) || !IsNumber(from.version()))
     return std::nullopt;
   return Fact{from.key(), from.owner(), from.value(), from.epoch(), from.version()};
 }
 
-// Whole; or none, where `may_be_none` and no part of it came.
+// A complete ballot; or an empty one, where `may_be_none` and all of its fields are absent.
 std::optional<Ballot> Read(const pb::Ballot& from, bool may_be_none) {
   const Ballot ballot{from.counter(), from.proposer(), from.start()};
   if (may_be_none && ballot == Ballot{}) return ballot;
@@ -49,39 +49,39 @@
   return ballot;
 }
 
-// A promise leaves out the lease that runs where none does; one that came in part is no promise.
+// A promise omits the running lease where there is none; a promise with an incomplete one is rejected.
 std::optional<Ballot> ReadAccepted(const pb::LeaseWord& from, LeaseKind kind) {
   if (!from.has_accepted()) return kind == LeaseKind::kReject ? std::nullopt : std::optional(Ballot{});
   if (kind != LeaseKind::kReject && kind != LeaseKind::kPromise) return std::nullopt;
   return Read(from.accepted(), false);
 }
 
-std::optional<LeaseWord> Read(const pb::LeaseWord& from) {
-  if (from.kind() > static_cast<std::uint32_t>(LeaseKind::kRecollect)) return std::nullopt;
+std::optional<LeaseMessage> Read(const pb::LeaseWord& from) {
+  if (from.kind() > static_cast<std::uint32_t>(LeaseKind::kRecoveryReply)) return std::nullopt;
   const auto kind = static_cast<LeaseKind>(from.kind());
   const bool of_all =
-      kind == LeaseKind::kRecall || (kind == LeaseKind::kRecollect && from.resource().empty());
-  const bool has_round = kind != LeaseKind::kRecall && kind != LeaseKind::kRecollect;
+      kind == LeaseKind::kRecoveryRequest || (kind == LeaseKind::kRecoveryReply && from.resource().empty());
+  const bool has_round = kind != LeaseKind::kRecoveryRequest && kind != LeaseKind::kRecoveryReply;
   if (!IsName(from.resource(), of_all) || (has_round && !IsNumber(from.round()))) return std::nullopt;
   const auto ballot = Read(from.ballot(), of_all);
   const auto accepted = ReadAccepted(from, kind);
   if (!ballot || !accepted) return std::nullopt;
-  return LeaseWord{kind, from.resource(), *ballot, from.round(), *accepted, from.memory()};
+  return LeaseMessage{kind, from.resource(), *ballot, from.round(), *accepted, from.memory()};
 }
 
-template <typename List, typename Word>
-bool ReadAll(const List& list, std::size_t most, std::vector<Word>& words) {
-  if (static_cast<std::size_t>(list.size()) > most) return false;
+template <typename List, typename Item>
+bool ReadAll(const List& list, std::size_t max_count, std::vector<Item>& items) {
+  if (static_cast<std::size_t>(list.size()) > max_count) return false;
   for (const auto& one : list) {
-    auto word = Read(one);
-    if (!word) return false;
-    words.push_back(std::move(*word));
+    auto item = Read(one);
+    if (!item) return false;
+    items.push_back(std::move(*item));
   }
   return true;
 }
 
-// What a packet of its kind can't be without: a ping and its answers their number, a ping whom it is meant
-// for.
+// Checks the fields that a packet of its kind must have: pings and their answers a sequence number, pings a
+// target.
 bool IsWhole(const Packet& packet) {
   const bool pings = packet.kind == PacketKind::kPing || packet.kind == PacketKind::kPingReq;
   const bool answers = packet.kind == PacketKind::kAck || packet.kind == PacketKind::kNack;
@@ -102,13 +102,13 @@
   out.set_electorate(packet.electorate);
   out.set_seq(packet.seq);
   out.set_target(packet.target);
-  for (const MemberWord& word : packet.members) {
+  for (const MemberUpdate& item : packet.members) {
     pb::MemberWord& to = *out.add_members();
-    to.set_name(word.name);
-    to.set_start(word.start);
-    to.set_incarnation(word.incarnation);
-    to.set_liveness(static_cast<std::uint32_t>(word.liveness));
-    to.set_accuser(word.accuser);
+    to.set_name(item.name);
+    to.set_start(item.start);
+    to.set_incarnation(item.incarnation);
+    to.set_liveness(static_cast<std::uint32_t>(item.liveness));
+    to.set_accuser(item.accuser);
   }
   for (const Fact& fact : packet.facts) {
     pb::Fact& to = *out.add_facts();
@@ -118,20 +118,20 @@
     to.set_epoch(fact.epoch);
     to.set_version(fact.version);
   }
-  for (const LeaseWord& word : packet.leases) {
+  for (const LeaseMessage& item : packet.leases) {
     pb::LeaseWord& to = *out.add_leases();
-    to.set_kind(static_cast<std::uint32_t>(word.kind));
-    to.set_resource(word.resource);
-    Put(word.ballot, *to.mutable_ballot());
-    to.set_round(word.round);
-    if (word.accepted.counter > 0) Put(word.accepted, *to.mutable_accepted());
-    to.set_memory(word.memory);
+    to.set_kind(static_cast<std::uint32_t>(item.kind));
+    to.set_resource(item.resource);
+    Put(item.ballot, *to.mutable_ballot());
+    to.set_round(item.round);
+    if (item.accepted.counter > 0) Put(item.accepted, *to.mutable_accepted());
+    to.set_memory(item.has_memory);
   }
   return out.SerializeAsString();
 }
 
 std::optional<Packet> Decode(std::string_view bytes) {
-  if (bytes.size() > kMostExchangeBytes) return std::nullopt;
+  if (bytes.size() > kMaxExchangeBytes) return std::nullopt;
   pb::Packet in;
   if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
   if (in.version() != kWireVersion || in.kind() > static_cast<std::uint32_t>(PacketKind::kExchangeReply))
@@ -144,9 +144,9 @@
   packet.electorate = in.electorate();
   packet.seq = in.seq();
   packet.target = in.target();
-  const bool whole = IsWhole(packet) && ReadAll(in.members(), kMostMembers, packet.members) &&
-                     ReadAll(in.facts(), kMostFacts, packet.facts) &&
-                     ReadAll(in.leases(), kMostLeaseWords, packet.leases);
+  const bool whole = IsWhole(packet) && ReadAll(in.members(), kMaxMembers, packet.members) &&
+                     ReadAll(in.facts(), kMaxFacts, packet.facts) &&
+                     ReadAll(in.leases(), kMaxLeaseMessages, packet.leases);
   return whole ? std::optional(std::move(packet)) : std::nullopt;
 }
 
--- a/src/fleet/wire.h
+++ b/src/fleet/wire.h
@@ -1,7 +1,7 @@
-// Packets as bytes, by protobuf. Versioned: a packet of another version is not read; fields that a later
-// program adds are passed over. Bounded: what is longer than the bounds here, or holds a value that no
-// program of this version sends, is no packet. Whole: protobuf reads a field that is absent as 0 or empty, so
-// what can't be 0 or empty must be there in every word, or there is no packet.
+// Encodes packets with protobuf (fleet.proto). Versioned: a packet of another version is rejected; fields
+// that a later version adds are ignored. Bounded: a packet that exceeds the limits below, or holds a value
+// that no program of this version sends, is rejected. Complete: protobuf reads an absent field as 0 or empty,
+// so a field that cannot be 0 or empty must be present in every message, or the packet is rejected.
 #pragma once
 
 #include <cstddef>
@@ -15,15 +15,20 @@
 namespace indigosaddle::fleet {
 
 constexpr std::uint32_t kWireVersion = 1;
-constexpr std::size_t kMostName = 64;
-constexpr std::size_t kMostExchangeBytes = std::size_t{4} * 1024 * 1024;
-constexpr std::size_t kMostMembers = 10000;
-constexpr std::size_t kMostLeaseWords = 128;
-// Of processes, ballots, rounds, epochs and versions: readers count on from these.
-constexpr std::uint64_t kMostNumber = ~std::uint64_t{0} >> 1;
-constexpr std::uint32_t kMostIncarnation = ~std::uint32_t{0} >> 1;
+// Most bytes of a member's or a resource's name.
+constexpr std::size_t kMaxNameBytes = 64;
+constexpr std::size_t kMaxExchangeBytes = std::size_t{4} * 1024 * 1024;
+// Most member updates in a packet.
+constexpr std::size_t kMaxMembers = 10000;
+// Most lease messages in a packet.
+constexpr std::size_t kMaxLeaseMessages = 128;
+// Highest start number, ballot counter, round, epoch and version. Receivers add to these numbers, so they
+// must stay well below the overflow.
+constexpr std::uint64_t kMaxNumber = ~std::uint64_t{0} >> 1;
+constexpr std::uint32_t kMaxIncarnation = ~std::uint32_t{0} >> 1;
 
 std::string Encode(const Packet& packet);
+// Returns nothing where the bytes are no valid packet.
 std::optional<Packet> Decode(std::string_view bytes);
 
 }  // namespace indigosaddle::fleet
--- a/tests/fleet/fleet_wire_test.cpp
+++ b/tests/fleet/fleet_wire_test.cpp
@@ -1,4 +1,4 @@
-// What crosses the network and the disk, and what is said of a change.
+// The formats on the network and on disk, the events of a change, and the number of senders.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -14,8 +14,8 @@
 namespace indigosaddle::fleet {
 namespace {
 
-MemberWord Word(const std::string& name, Liveness liveness, std::uint64_t start = 1,
-                std::uint32_t incarnation = 0, const std::string& accuser = "") {
+MemberUpdate Update(const std::string& name, Liveness liveness, std::uint64_t start = 1,
+                    std::uint32_t incarnation = 0, const std::string& accuser = "") {
   return {name, start, incarnation, liveness, accuser};
 }
 
@@ -25,20 +25,20 @@
   packet.from = "node-1", packet.start = 1764600000000, packet.incarnation = 3,
   packet.electorate = 0xfedcba9876543210;
   packet.seq = 1ull << 62, packet.target = "node-2";
-  packet.members = {Word("node-3", Liveness::kSuspect, 9, 2, "node-1"), Word("node-4", Liveness::kLeft)};
+  packet.members = {Update("node-3", Liveness::kSuspect, 9, 2, "node-1"), Update("node-4", Liveness::kLeft)};
   packet.facts = {{"senders", "node-1", std::string("3\0x", 3), 12, 4}};
   packet.leases = {{LeaseKind::kReject, "coordinator", {5, "a", 1}, 7, {6, "b", 2}, true}};
   return packet;
 }
 
-TEST(FleetWire, WhatIsWrittenIsRead) {
+TEST(FleetWire, DecodingAnEncodedPacketGivesTheSamePacket) {
   const Packet packet = Whole();
   const auto read = Decode(Encode(packet));
   ASSERT_TRUE(read);
   EXPECT_TRUE(*read == packet);
 }
 
-TEST(FleetWire, RubbishIsNoPacketAndBreaksNothing) {
+TEST(FleetWire, DamagedBytesAreRejectedOrStayWithinTheLimits) {
   EXPECT_FALSE(Decode(""));
   EXPECT_FALSE(Decode("GET / HTTP/1.1\r\n"));
   const std::string good = Encode(Whole());
@@ -53,31 +53,31 @@
       }
     }
     if (const auto packet = Decode(bytes)) {
-      EXPECT_LE(packet->from.size(), kMostName);
-      for (const MemberWord& word : packet->members) EXPECT_LE(word.liveness, Liveness::kLeft);
-      for (const Fact& fact : packet->facts) EXPECT_LE(fact.key.size() + fact.value.size(), kMostFactBytes);
+      EXPECT_LE(packet->from.size(), kMaxNameBytes);
+      for (const MemberUpdate& update : packet->members) EXPECT_LE(update.liveness, Liveness::kLeft);
+      for (const Fact& fact : packet->facts) EXPECT_LE(fact.key.size() + fact.value.size(), kMaxFactBytes);
     }
   }
 }
 
-TEST(FleetWire, ValuesThatNoProgramSendsAreRefused) {
+TEST(FleetWire, InvalidValuesAreRejected) {
   const auto refused = [](auto change) {
     Packet packet = Whole();
     change(packet);
     return !Decode(Encode(packet)).has_value();
   };
   EXPECT_TRUE(refused([](Packet& p) { p.from.clear(); }));
-  EXPECT_TRUE(refused([](Packet& p) { p.from = std::string(kMostName + 1, 'x'); }));
+  EXPECT_TRUE(refused([](Packet& p) { p.from = std::string(kMaxNameBytes + 1, 'x'); }));
   EXPECT_TRUE(refused([](Packet& p) { p.kind = static_cast<PacketKind>(99); }));
   EXPECT_TRUE(refused([](Packet& p) { p.members[0].liveness = static_cast<Liveness>(9); }));
-  EXPECT_TRUE(refused([](Packet& p) { p.facts[0].value = std::string(kMostFactBytes, 'x'); }));
-  EXPECT_TRUE(refused([](Packet& p) { p.leases.resize(kMostLeaseWords + 1, p.leases[0]); }));
+  EXPECT_TRUE(refused([](Packet& p) { p.facts[0].value = std::string(kMaxFactBytes, 'x'); }));
+  EXPECT_TRUE(refused([](Packet& p) { p.leases.resize(kMaxLeaseMessages + 1, p.leases[0]); }));
   EXPECT_FALSE(refused([](Packet&) {}));
 }
 
-// In proto3 a field that is absent reads as 0 or empty: a packet that lost one must not pass for a word of an
+// In proto3 an absent field reads as 0 or empty. A packet that lacks one must not pass for an update of an
 // earlier process, a lease that nobody holds, a ballot never promised or a fact without an epoch.
-TEST(FleetWire, AFieldThatIsAbsentMakesNoPacket) {
+TEST(FleetWire, MissingFieldsAreRejected) {
   const auto refused = [](auto change) {
     Packet packet = Whole();
     change(packet);
@@ -86,7 +86,7 @@
   EXPECT_TRUE(refused([](Packet& p) { p.start = 0; }));
   EXPECT_TRUE(refused([](Packet& p) { p.electorate = 0; }));
   EXPECT_TRUE(refused([](Packet& p) { p.members[0].start = 0; }));
-  EXPECT_TRUE(refused([](Packet& p) { p.members[0].accuser.clear(); })) << "a suspicion of nobody";
+  EXPECT_TRUE(refused([](Packet& p) { p.members[0].accuser.clear(); })) << "a suspicion without an accuser";
   EXPECT_TRUE(refused([](Packet& p) { p.facts[0].owner.clear(); }));
   EXPECT_TRUE(refused([](Packet& p) { p.facts[0].epoch = 0; }));
   EXPECT_TRUE(refused([](Packet& p) { p.facts[0].version = 0; }));
@@ -96,45 +96,46 @@
     EXPECT_TRUE(refused([&](Packet& p) { p.kind = kind, p.target.clear(); })) << static_cast<int>(kind);
 }
 
-// The same of each kind of a lease's word; what a kind does not carry is not there.
-TEST(FleetWire, ALeasesWordIsWholeForItsKindOrMakesNoPacket) {
-  const auto read = [](const LeaseWord& word) {
+// Each kind of lease message must have the fields of its kind, and no ballot that its kind does not carry.
+TEST(FleetWire, LeaseMessagesWithoutAFieldOfTheirKindAreRejected) {
+  const auto read = [](const LeaseMessage& message) {
     Packet packet = Whole();
-    packet.leases = {word};
+    packet.leases = {message};
     return Decode(Encode(packet)).has_value();
   };
   const Ballot five{5, "a", 1}, six{6, "b", 2};
   for (const LeaseKind kind : {LeaseKind::kPrepare, LeaseKind::kPromise, LeaseKind::kReject,
                                LeaseKind::kPropose, LeaseKind::kAccept, LeaseKind::kRelease}) {
     const bool rejects = kind == LeaseKind::kReject, may_tell = rejects || kind == LeaseKind::kPromise;
-    const LeaseWord whole{kind, "x", five, 7, rejects ? six : Ballot{}, false};
+    const LeaseMessage whole{kind, "x", five, 7, rejects ? six : Ballot{}, false};
     const auto with = [&](auto change) {
-      LeaseWord word = whole;
-      change(word);
-      return read(word);
+      LeaseMessage message = whole;
+      change(message);
+      return read(message);
     };
     SCOPED_TRACE(static_cast<int>(kind));
     EXPECT_TRUE(read(whole));
-    EXPECT_FALSE(with([](LeaseWord& w) { w.resource.clear(); }));
-    EXPECT_FALSE(with([](LeaseWord& w) { w.ballot.counter = 0; }));
-    EXPECT_FALSE(with([](LeaseWord& w) { w.ballot.proposer.clear(); }));
-    EXPECT_FALSE(with([](LeaseWord& w) { w.ballot.start = 0; }));
-    EXPECT_FALSE(with([](LeaseWord& w) { w.round = 0; }));
-    EXPECT_FALSE(with([&](LeaseWord& w) { w.accepted = {6, "", 2}; }));
-    EXPECT_FALSE(with([&](LeaseWord& w) { w.accepted = {6, "b", 0}; }));
-    EXPECT_EQ(with([&](LeaseWord& w) { w.accepted = six; }), may_tell);
-    EXPECT_EQ(with([&](LeaseWord& w) { w.accepted = {}; }), !rejects);
+    EXPECT_FALSE(with([](LeaseMessage& m) { m.resource.clear(); }));
+    EXPECT_FALSE(with([](LeaseMessage& m) { m.ballot.counter = 0; }));
+    EXPECT_FALSE(with([](LeaseMessage& m) { m.ballot.proposer.clear(); }));
+    EXPECT_FALSE(with([](LeaseMessage& m) { m.ballot.start = 0; }));
+    EXPECT_FALSE(with([](LeaseMessage& m) { m.round = 0; }));
+    EXPECT_FALSE(with([&](LeaseMessage& m) { m.accepted = {6, "", 2}; }));
+    EXPECT_FALSE(with([&](LeaseMessage& m) { m.accepted = {6, "b", 0}; }));
+    EXPECT_EQ(with([&](LeaseMessage& m) { m.accepted = six; }), may_tell);
+    EXPECT_EQ(with([&](LeaseMessage& m) { m.accepted = {}; }), !rejects);
   }
-  EXPECT_TRUE(read({LeaseKind::kRecall, "", {}, 0, {}, false}));
-  EXPECT_TRUE(read({LeaseKind::kRecollect, "", {}, 0, {}, true}));
-  EXPECT_TRUE(read({LeaseKind::kRecollect, "x", five, 0, {}, true}));
-  EXPECT_FALSE(read({LeaseKind::kRecollect, "x", {}, 0, {}, true})) << "a promise forgotten by who is sure";
-  EXPECT_FALSE(read({LeaseKind::kRecollect, "x", {5, "a", 0}, 0, {}, true}));
+  EXPECT_TRUE(read({LeaseKind::kRecoveryRequest, "", {}, 0, {}, false}));
+  EXPECT_TRUE(read({LeaseKind::kRecoveryReply, "", {}, 0, {}, true}));
+  EXPECT_TRUE(read({LeaseKind::kRecoveryReply, "x", five, 0, {}, true}));
+  EXPECT_FALSE(read({LeaseKind::kRecoveryReply, "x", {}, 0, {}, true}))
+      << "a promise without its ballot, from a voter with complete memory";
+  EXPECT_FALSE(read({LeaseKind::kRecoveryReply, "x", {5, "a", 0}, 0, {}, true}));
 }
 
-// A promise tells of the lease that runs by `accepted`: one that came without its counter means no free
-// lease.
-TEST(FleetWire, AnAcceptedBallotWithoutItsCounterIsNotNone) {
+// A promise reports the running lease in `accepted`. One that came without its counter must not be read as
+// "no lease runs".
+TEST(FleetWire, AnAcceptedBallotWithoutItsCounterIsRejected) {
   using std::string_view_literals::operator""sv;
   Packet packet = Whole();
   packet.leases.clear();
@@ -143,8 +144,8 @@
       "\x08\x01\x12\x01x\x1a\x07\x08\x05\x12\x01"
       "a\x18\x01\x20\x07"sv;
   const auto read = [&](std::string_view accepted) {
-    const std::string word = std::string(kPromise) + std::string(accepted);
-    return Decode(head + static_cast<char>(word.size()) + word).has_value();
+    const std::string message = std::string(kPromise) + std::string(accepted);
+    return Decode(head + static_cast<char>(message.size()) + message).has_value();
   };
   EXPECT_TRUE(read(""));
   EXPECT_TRUE(
@@ -156,8 +157,8 @@
   EXPECT_FALSE(read("\x2a\x00"sv));
 }
 
-// Numbers that count on from what was heard: the next one behind the last would be 0.
-TEST(FleetWire, NumbersThatCantBeCountedOnAreRefused) {
+// Receivers add 1 to numbers that they received: after the highest the next would be 0.
+TEST(FleetWire, NumbersThatWouldOverflowAreRejected) {
   constexpr std::uint64_t kLast = ~std::uint64_t{0};
   const auto refused = [](auto change) {
     Packet packet = Whole();
@@ -174,21 +175,21 @@
   EXPECT_TRUE(refused([](Packet& p) { p.leases[0].accepted.counter = kLast; }));
 }
 
-TEST(MemoryFileTest, ADamagedFileCountsAsLostAndIsToldApartFromNone) {
+TEST(MemoryFileTest, ADamagedFileCountsAsLostAndDiffersFromAMissingOne) {
   const std::string folder = ::testing::TempDir() + "fleet-memory";
   std::filesystem::remove_all(folder);
   std::filesystem::create_directories(folder);
   const MemoryFile file(folder);
-  Memory memory, read;
+  VoterMemory memory, read;
   std::string trouble;
   EXPECT_FALSE(file.Read(read, trouble));
   EXPECT_EQ(trouble, "");
   memory.promised["x"] = {5, "a \"quoted\" name", 8};
-  memory.start = 77, memory.sure = true;
+  memory.start = 77, memory.complete = true;
   ASSERT_TRUE(file.Write(memory));
   ASSERT_TRUE(file.Read(read, trouble)) << trouble;
   EXPECT_TRUE(read == memory);
-  const std::string text = MemoryFile::Text(memory);
+  const std::string text = MemoryFile::Serialize(memory);
   for (std::size_t cut = 0; cut < text.size() - 1; ++cut)
     EXPECT_FALSE(MemoryFile::Parse(text.substr(0, cut), read));
   std::string changed = text;
@@ -199,38 +200,38 @@
   EXPECT_FALSE(MemoryFile(folder + "/none").Write(memory));
 }
 
-TEST(NotesTest, SayWhatChangedAndNothingElse) {
+TEST(FleetEventsTest, ReportOnlyWhatChanged) {
   Snapshot before, after;
   after.members =
       before.members = {{"a", "s", Liveness::kAlive, true, 1}, {"b", "s", Liveness::kDead, false, 0}};
-  EXPECT_TRUE(Notes(before, after).empty());
+  EXPECT_TRUE(EventsBetween(before, after).empty());
   after.members[0].liveness = Liveness::kDead;
-  after.connectivity = Standing::kCutOff;
+  after.connectivity = Connectivity::kIsolated;
   after.leases["coordinator"] = {4, Micros(1)};
-  const auto notes = Notes(before, after);
-  ASSERT_EQ(notes.size(), 3u);
-  EXPECT_EQ(notes[0], (FleetEvent{FleetEvent::Kind::kConnectivity, "cut off", "", 1}));
-  EXPECT_EQ(notes[1], (FleetEvent{FleetEvent::Kind::kMember, "a", "dead", 1}));
-  EXPECT_EQ(notes[2], (FleetEvent{FleetEvent::Kind::kLease, "coordinator", "held", 4}));
-  EXPECT_EQ(Notes(after, before).back(),
+  const auto events = EventsBetween(before, after);
+  ASSERT_EQ(events.size(), 3u);
+  EXPECT_EQ(events[0], (FleetEvent{FleetEvent::Kind::kConnectivity, "cut off", "", 1}));
+  EXPECT_EQ(events[1], (FleetEvent{FleetEvent::Kind::kMember, "a", "dead", 1}));
+  EXPECT_EQ(events[2], (FleetEvent{FleetEvent::Kind::kLease, "coordinator", "held", 4}));
+  EXPECT_EQ(EventsBetween(after, before).back(),
             (FleetEvent{FleetEvent::Kind::kLease, "coordinator", "not held", 4}));
 }
 
-TEST(SendersTest, WhatIsNotSureCountsAsMoreSenders) {
+TEST(SendersTest, AnUnreliableCountIsNeverBelowTheFiles) {
   Snapshot snapshot;
   EXPECT_EQ(SendersToUse(snapshot, 9), 9u);
   snapshot.senders = 4;
-  snapshot.connectivity = Standing::kConnected;
+  snapshot.connectivity = Connectivity::kConnected;
   EXPECT_EQ(SendersToUse(snapshot, 9), 4u);
-  snapshot.connectivity = Standing::kCutOff;
+  snapshot.connectivity = Connectivity::kIsolated;
   EXPECT_EQ(SendersToUse(snapshot, 9), 9u);
   snapshot.senders = 14;
   EXPECT_EQ(SendersToUse(snapshot, 9), 14u);
 }
 
-// A count that is missing or unreadable must not be less than the members that are seen: each would send
-// more.
-TEST(SendersTest, WithNothingAgreedThereAreNoFewerThanAreSeen) {
+// Where the count is missing or unreadable, fewer senders than the members seen would make each send too
+// much.
+TEST(SendersTest, WithoutAgreementTheCountIsNotBelowThePresentMembers) {
   Snapshot snapshot;
   snapshot.present = 5;
   EXPECT_EQ(SendersToUse(snapshot, 2), 5u);
--- a/tests/fleet/lease_explorer_test.cpp
+++ b/tests/fleet/lease_explorer_test.cpp
@@ -1,4 +1,4 @@
-// Walks of the lease (lease_explorer.h) as it is built, and with each mutant.
+// Explores the lease protocol (lease_explorer.h) as it is, and with each mutant.
 #include "lease_explorer.h"
 
 #include <gtest/gtest.h>
@@ -12,13 +12,13 @@
 
 TEST(LeaseExplorer, NoInterleavingGivesTwoHoldersOrAnOldEpoch) {
   const char* wanted = std::getenv("LEASE_STATES");
-  const std::size_t most = wanted != nullptr ? std::strtoull(wanted, nullptr, 10) : 60000;
-  Explorer explorer(Mutant::kNone, 40, most);
+  const std::size_t max_states = wanted != nullptr ? std::strtoull(wanted, nullptr, 10) : 60000;
+  Explorer explorer(Mutant::kNone, 40, max_states);
   explorer.Run();
-  std::cout << explorer.states << " states, depth " << explorer.deepest << "\n";
-  EXPECT_EQ(explorer.broken, "");
-  EXPECT_GE(explorer.states, most);
-  EXPECT_EQ(explorer.held.size(), 2u);  // both got it in some
+  std::cout << explorer.states << " states, depth " << explorer.max_depth_reached << "\n";
+  EXPECT_EQ(explorer.violation, "");
+  EXPECT_GE(explorer.states, max_states);
+  EXPECT_EQ(explorer.holders_seen.size(), 2u);  // each proposer held it in some state
 }
 
 class Mutants : public ::testing::TestWithParam<Mutant> {};
@@ -26,8 +26,8 @@
 TEST_P(Mutants, AreCaught) {
   Explorer explorer(GetParam(), 40, 400000);
   explorer.Run();
-  std::cout << explorer.states << " states: " << explorer.broken << "\n";
-  EXPECT_NE(explorer.broken, "");
+  std::cout << explorer.states << " states: " << explorer.violation << "\n";
+  EXPECT_NE(explorer.violation, "");
 }
 
 std::string NameOfMutant(const ::testing::TestParamInfo<Mutant>& tested) {
@@ -37,14 +37,14 @@
     case Mutant::kNoSilence: return "NoSilence";
     case Mutant::kNoRounds: return "NoRounds";
     case Mutant::kReleaseFirst: return "ReleaseFirst";
-    case Mutant::kForgets: return "Forgets";
+    case Mutant::kForgetPromises: return "Forgets";
   }
   return "?";
 }
 
 INSTANTIATE_TEST_SUITE_P(Lease, Mutants,
                          ::testing::Values(Mutant::kNoDrift, Mutant::kNoSilence, Mutant::kNoRounds,
-                                           Mutant::kReleaseFirst, Mutant::kForgets),
+                                           Mutant::kReleaseFirst, Mutant::kForgetPromises),
                          NameOfMutant);
 
 }  // namespace
--- a/tests/fleet/lost_processes_test.cpp
+++ b/tests/fleet/lost_processes_test.cpp
@@ -1,5 +1,5 @@
-// Fleets of the built program: bad clocks, lost and damaged memories, everything at once, random schedules,
-// and off.
+// Fleets of real processes: clock drift, lost and damaged voter memory, a restart of all nodes, random fault
+// schedules, and a node without fleet settings.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -18,85 +18,85 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Clocks as far off as the file allows, the holder killed again and again.
-TEST_F(FleetProcesses, ClocksThatRunFastAndSlowGiveNoLeaseTwice) {
-  Make(3, 3, [](ClusterOptions& options) {
+// Clocks as far off as the configured drift allows, with the holder killed or frozen repeatedly.
+TEST_F(FleetProcesses, ClockDriftGivesNoLeaseTwoHolders) {
+  StartCluster(3, 3, [](ClusterOptions& options) {
     options.rates = {{0, 0.99}, {1, 1.01}, {2, 1.0}};
     options.drift = 0.01;
   });
   for (int round = 0; round < 3; ++round) {
-    ASSERT_TRUE(Soon([&] { return Settled() && cluster->Holder() >= 0; }));
+    ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->Holder() >= 0; }));
     const int holder = cluster->Holder();
     round == 1 ? cluster->Freeze(holder) : cluster->Kill(holder);
-    ASSERT_TRUE(Soon([&] {
+    ASSERT_TRUE(Eventually([&] {
       for (int i = 0; i < 3; ++i)
         if (i != holder && cluster->Fleet(i)["leases"].contains("coordinator")) return true;
       return false;
     }));
     round == 1 ? cluster->Thaw(holder) : cluster->Start(holder);
   }
-  EXPECT_TRUE(Soon([&] { return cluster->epochs() >= 4; }, seconds(5)));
+  EXPECT_TRUE(Eventually([&] { return cluster->epochs() >= 4; }, seconds(5)));
 }
 
-TEST_F(FleetProcesses, AVoterWhoseMachineIsLostAsksTheOthers) {
-  Make(3, 3);
-  ASSERT_TRUE(Soon([&] { return Settled() && cluster->Holder() >= 0; }));
+TEST_F(FleetProcesses, AVoterThatLostItsMemoryAsksTheOthers) {
+  StartCluster(3, 3);
+  ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->Holder() >= 0; }));
   const int holder = cluster->Holder(), lost = (holder + 1) % 3;
   const std::uint64_t epoch = Epoch(holder);
   cluster->Kill(lost);
   cluster->Forget(lost);
   cluster->Kill(holder);
   cluster->Start(lost);
-  // Of the two that it must hear only one is there: no lease, however long (here three terms).
-  EXPECT_FALSE(Soon([&] { return cluster->Holder() >= 0; }, seconds(6)));
+  // The restarted voter needs replies from both others and only one is up: no lease, here for three terms.
+  EXPECT_FALSE(Eventually([&] { return cluster->Holder() >= 0; }, seconds(6)));
   cluster->Start(holder);
-  ASSERT_TRUE(Soon([&] { return Settled() && cluster->Holder() >= 0; }));
+  ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->Holder() >= 0; }));
   EXPECT_GT(Epoch(cluster->Holder()), epoch);
 }
 
-TEST_F(FleetProcesses, ADamagedMemoryIsSaidAndCountsAsLost) {
-  Make(3, 3);
-  ASSERT_TRUE(Soon([&] { return Settled(); }));
+TEST_F(FleetProcesses, ADamagedMemoryFileIsLoggedAndCountsAsLost) {
+  StartCluster(3, 3);
+  ASSERT_TRUE(Eventually([&] { return AllConnected(); }));
   cluster->Kill(1);
   std::ofstream(cluster->Folder(1) + "/fleet.memory") << "{\"body\":";
   cluster->Start(1);
-  ASSERT_TRUE(Soon([&] { return Settled(); }));
+  ASSERT_TRUE(Eventually([&] { return AllConnected(); }));
   EXPECT_NE(cluster->Log(1).find("fleet.memory is damaged"), std::string::npos);
 }
 
-TEST_F(FleetProcesses, EverythingRestartedAtOnceFindsItselfAgain) {
-  Make(5, 5);
-  ASSERT_TRUE(Soon([&] { return Settled() && cluster->Holder() >= 0; }));
+TEST_F(FleetProcesses, AFleetRestartedAtOnceRecovers) {
+  StartCluster(5, 5);
+  ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->Holder() >= 0; }));
   const std::uint64_t epoch = Epoch(cluster->Holder());
   for (int i = 0; i < 5; ++i) cluster->Kill(i);
   cluster->StartAll();
-  ASSERT_TRUE(Soon([&] { return Settled() && cluster->Holder() >= 0; }));
+  ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->Holder() >= 0; }));
   EXPECT_GT(Epoch(cluster->Holder()), epoch);
 }
 
-// A whole site frozen past its members' leases and thawed together.
-TEST_F(FleetProcesses, ASiteFrozenAndThawedClaimsNothingOld) {
-  Make(6, 6);  // three sites of two
-  ASSERT_TRUE(Soon([&] { return Settled() && cluster->Holder() >= 0; }));
+// A whole site is frozen past its members' leases and resumed together.
+TEST_F(FleetProcesses, ASiteFrozenPastItsLeasesRecovers) {
+  StartCluster(6, 6);  // three sites of two
+  ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->Holder() >= 0; }));
   const int holder = cluster->Holder(), twin = (holder + 3) % 6;
   cluster->Freeze(holder), cluster->Freeze(twin);
-  ASSERT_TRUE(Soon([&] {
+  ASSERT_TRUE(Eventually([&] {
     for (int i = 0; i < 6; ++i)
       if (i != holder && i != twin && cluster->Fleet(i)["leases"].contains("coordinator")) return true;
     return false;
   }));
   cluster->Thaw(holder), cluster->Thaw(twin);
-  EXPECT_TRUE(Soon([&] { return Settled(); }));
+  EXPECT_TRUE(Eventually([&] { return AllConnected(); }));
 }
 
-// A random schedule of all faults; FLEET_SEED repeats one.
-TEST_F(FleetProcesses, ARandomScheduleLeavesOneHolderAtMost) {
+// A random schedule of all faults; FLEET_SEED repeats one schedule.
+TEST_F(FleetProcesses, ARandomFaultScheduleNeverGivesTwoHolders) {
   const char* wanted = std::getenv("FLEET_SEED");
   const std::uint64_t seed = wanted != nullptr ? std::strtoull(wanted, nullptr, 10) : 20261202;
   SCOPED_TRACE("FLEET_SEED=" + std::to_string(seed));
-  Make(5, 5, [&](ClusterOptions& options) { options.seed = seed; });
+  StartCluster(5, 5, [&](ClusterOptions& options) { options.seed = seed; });
   std::mt19937_64 random(seed);
-  ASSERT_TRUE(Soon([&] { return Settled(); }));
+  ASSERT_TRUE(Eventually([&] { return AllConnected(); }));
   std::set<int> frozen;
   for (int step = 0; step < 25; ++step) {
     const int one = static_cast<int>(random() % 5), two = static_cast<int>(random() % 5);
@@ -120,8 +120,7 @@
         for (const int i : frozen) cluster->Thaw(i);
         frozen.clear();
     }
-    const int held =
-        cluster->Holder();  // takes a while where some are frozen: time passes between the faults
+    const int held = cluster->Holder();  // slow where some are frozen, so that time passes between faults
     static_cast<void>(held);
     std::this_thread::sleep_for(milliseconds(random() % 900));
   }
@@ -129,11 +128,11 @@
   for (const int i : frozen) cluster->Thaw(i);
   for (int i = 0; i < 5; ++i)
     if (!cluster->Up(i)) cluster->Start(i);
-  EXPECT_TRUE(Soon([&] { return Settled() && cluster->Holder() >= 0; }));
+  EXPECT_TRUE(Eventually([&] { return AllConnected() && cluster->Holder() >= 0; }));
 }
 
-// Without [fleet] there is no second thread, nothing is listened on, and no memory is kept.
-TEST_F(FleetProcesses, OffNothingStarts) {
+// Without [fleet] in the configuration no second thread runs and no fleet.memory is written.
+TEST_F(FleetProcesses, WithoutFleetSettingsNothingStarts) {
   const std::string folder = ::testing::TempDir() + "fleet-off";
   std::filesystem::remove_all(folder);
   std::filesystem::create_directories(folder);
@@ -145,7 +144,7 @@
          "\"safe\"\naim = \"1s\"\ndeadline = \"10s\"\nworth = 1\n\n[[peers]]\nname = "
          "\"n0\"\naddress = \"127.0.0.1:9999\"\n";
   Process process(INDIGOSADDLE_PROGRAM, {"serve", "--config", folder + "/off.toml"}, {}, folder + "/log");
-  ASSERT_TRUE(Soon([&] { return std::filesystem::exists(folder + "/c"); }));
+  ASSERT_TRUE(Eventually([&] { return std::filesystem::exists(folder + "/c"); }));
   const std::string of = "/proc/" + std::to_string(process.pid());
   std::size_t threads = 0;
   for (const auto& one : std::filesystem::directory_iterator(of + "/task")) threads += one.exists() ? 1 : 0;
--- a/tests/fleet/network.h
+++ b/tests/fleet/network.h
@@ -1,4 +1,4 @@
-// How bad a virtual network is (world.h).
+// Fault rates and delays of the virtual network (world.h).
 #pragma once
 
 #include <chrono>
@@ -14,11 +14,11 @@
 
 struct Network {
   double loss = 0, doubled = 0;
-  Micros least{milliseconds(1)}, most{milliseconds(5)};
+  Micros min_delay{milliseconds(1)}, max_delay{milliseconds(5)};
 };
 
-// What a world found broken, a line each.
-inline std::string Words(const std::vector<std::string>& lines) {
+// Joins the violations that a world found, one per line.
+inline std::string JoinLines(const std::vector<std::string>& lines) {
   std::string all;
   for (const std::string& line : lines) all += line + "\n";
   return all;
--- a/tests/fleet/processes.h
+++ b/tests/fleet/processes.h
@@ -1,5 +1,5 @@
-// A fleet of the built program in a test's hands (src/faults/cluster.h): what every such test checks at its
-// end, and what the nodes say of themselves.
+// Fixture of tests that run a fleet of real processes (src/faults/cluster.h): checks the watched invariants
+// at the end of each test, and reads what the nodes report about themselves.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,11 +16,11 @@
 
 namespace indigosaddle::faults {
 
-constexpr std::chrono::seconds kPatience(60);
+constexpr std::chrono::seconds kDefaultTimeout(60);
 
 class FleetProcesses : public ::testing::Test {
  protected:
-  void Make(int nodes, int voters, std::function<void(ClusterOptions&)> change = {}) {
+  void StartCluster(int nodes, int voters, std::function<void(ClusterOptions&)> change = {}) {
     ClusterOptions options;
     options.program = INDIGOSADDLE_PROGRAM;
     options.folder =
@@ -38,26 +38,27 @@
     if (!HasFailure()) return;
     for (int i = 0; i < nodes_; ++i) std::cerr << "---- " << Cluster::Name(i) << "\n" << cluster->Log(i);
   }
-  static bool Soon(const std::function<bool()>& holds, std::chrono::milliseconds within = kPatience) {
+  static bool Eventually(const std::function<bool()>& holds,
+                         std::chrono::milliseconds within = kDefaultTimeout) {
     return Cluster::Eventually(holds, within);
   }
-  // Whether each of these has that standing, and counts so many senders.
-  bool All(const std::vector<int>& who, const std::string& standing, int senders) const {
+  // Whether each of these nodes reports that standing and that number of senders.
+  bool AllHave(const std::vector<int>& who, const std::string& standing, int senders) const {
     for (const int i : who) {
       const auto fleet = cluster->Fleet(i);
       if (!fleet.is_object() || fleet["standing"] != standing || fleet["senders"] != senders) return false;
     }
     return true;
   }
-  std::vector<int> Everybody() const {
+  std::vector<int> AllNodes() const {
     std::vector<int> all;
     for (int i = 0; i < nodes_; ++i) all.push_back(i);
     return all;
   }
-  bool Settled() const { return All(Everybody(), "connected", nodes_); }
+  bool AllConnected() const { return AllHave(AllNodes(), "connected", nodes_); }
   std::uint64_t Epoch(int i) const { return cluster->Fleet(i)["leases"]["coordinator"]["epoch"]; }
-  // The epoch under which it holds the coordinator's lease by its own word; 0: it does not, or does not say.
-  std::uint64_t Lease(int i) const {
+  // The epoch under which the node reports to hold the coordinator's lease; 0 where it does not, or is down.
+  std::uint64_t HeldEpoch(int i) const {
     const auto fleet = cluster->Fleet(i);
     return fleet.is_object() && fleet["leases"].contains("coordinator")
                ? fleet["leases"]["coordinator"]["epoch"].get<std::uint64_t>()
--- a/tests/fleet/published_test.cpp
+++ b/tests/fleet/published_test.cpp
@@ -1,4 +1,4 @@
-// Snapshots between threads: also built and run under ThreadSanitizer (INDIGOSADDLE_TSAN).
+// Passing snapshots between threads; also built and run under ThreadSanitizer (INDIGOSADDLE_TSAN).
 #include "fleet/published.h"
 
 #include <gtest/gtest.h>
@@ -12,8 +12,8 @@
 namespace indigosaddle::fleet {
 namespace {
 
-// Every look sees one whole snapshot, never an older one than the look before, while a writer replaces it.
-TEST(PublishedTest, ReadersSeeWholeSnapshotsThatOnlyGetNewer) {
+// While a writer replaces the snapshot, every read sees one whole snapshot, never an older one than before.
+TEST(PublishedSnapshotTest, ReadersSeeWholeSnapshotsThatOnlyGetNewer) {
   PublishedSnapshot published;
   std::atomic<bool> done{false};
   std::atomic<int> torn{0}, older{0};
@@ -24,8 +24,8 @@
       const PublishedSnapshot::Reader reader(published);
       std::uint64_t last = 0;
       while (!done) {
-        const PublishedSnapshot::Reader::ReadSection look(reader);
-        const Snapshot& snapshot = look.get();
+        const PublishedSnapshot::Reader::ReadSection section(reader);
+        const Snapshot& snapshot = section.get();
         const std::size_t number = snapshot.number;
         if (snapshot.members.size() != number % 7 ||
             (!snapshot.members.empty() && snapshot.members[0].start != number))
@@ -48,19 +48,19 @@
   EXPECT_EQ(older, 0);
 }
 
-// A reader that rests holds the writer up for nothing, however long.
-TEST(PublishedTest, AWriterDoesNotWaitForAReaderThatRests) {
+// A reader outside its read sections must not delay the writer.
+TEST(PublishedSnapshotTest, TheWriterDoesNotWaitForAnIdleReader) {
   PublishedSnapshot published;
   const PublishedSnapshot::Reader reader(published);
   std::thread writer([&] {
     for (int i = 0; i < 100; ++i) published.Publish(std::make_unique<Snapshot>());
   });
   writer.join();
-  const PublishedSnapshot::Reader::ReadSection look(reader);
-  EXPECT_EQ(look.get().number, 0u);
+  const PublishedSnapshot::Reader::ReadSection section(reader);
+  EXPECT_EQ(section.get().number, 0u);
 }
 
-TEST(MailboxTest, NothingIsLostAndEachSendersOrderKept) {
+TEST(MailboxTest, LosesNothingAndKeepsEachSendersOrder) {
   Mailbox<std::pair<int, int>> mailbox;
   std::vector<std::thread> senders;
   for (int who = 0; who < 3; ++who) {
--- a/tests/fleet/site_processes_test.cpp
+++ b/tests/fleet/site_processes_test.cpp
@@ -1,5 +1,5 @@
-// Whole sites of real processes that die, freeze, are cut off or lose only discovery: what the others agree
-// on, what the members there know themselves.
+// Whole sites of real processes that die, freeze, are partitioned or lose only discovery: what the others
+// agree on, and what the members there know themselves.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -20,16 +20,16 @@
 class SiteProcesses : public FleetProcesses {
  protected:
   void SetUp() override {
-    Make(6, 5, [&](ClusterOptions& options) {
+    StartCluster(6, 5, [&](ClusterOptions& options) {
       options.discovery = [&](int i) { return i % 3 == 0 ? own.address() : other.address(); };
       options.tables =
           "[[classes]]\nname = \"notice\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"10s\"\nworth = 1\n\n"
           "[[zones]]\nname = \"z0\"\n\n[[zones]]\nname = \"z1\"\n\n[[zones]]\nname = \"z2\"\n\n"
           "[[sites]]\nname = \"s1\"\nzone = \"z1\"\n";
     });
-    ASSERT_TRUE(Soon([&] { return Agree({0, 1, 2, 3, 4, 5}, {"up", "up", "up"}); }));
+    ASSERT_TRUE(Eventually([&] { return Agree({0, 1, 2, 3, 4, 5}, {"up", "up", "up"}); }));
   }
-  // Whether all of these say so of the three sites.
+  // Whether all of these nodes report these states of the three sites.
   bool Agree(const std::vector<int>& who, const std::vector<std::string>& states) const {
     for (const int i : who) {
       const auto fleet = cluster->Fleet(i);
@@ -49,66 +49,68 @@
 
 TEST_F(SiteProcesses, AKilledSiteIsLostToAllAndReturnsSlowly) {
   cluster->Kill(1), cluster->Kill(4);
-  ASSERT_TRUE(Soon([&] { return Agree({0, 2, 3, 5}, {"up", "lost", "up"}); }));
+  ASSERT_TRUE(Eventually([&] { return Agree({0, 2, 3, 5}, {"up", "lost", "up"}); }));
   cluster->Start(1), cluster->Start(4);
-  ASSERT_TRUE(Soon([&] { return Agree({0, 2, 3, 5}, {"up", "returning", "up"}); }));
-  EXPECT_TRUE(Soon([&] { return AllUp(); }));
+  ASSERT_TRUE(Eventually([&] { return Agree({0, 2, 3, 5}, {"up", "returning", "up"}); }));
+  EXPECT_TRUE(Eventually([&] { return AllUp(); }));
   EXPECT_NE(cluster->Log(0).find("fleet.site site=s1 state=lost losses=1"), std::string::npos);
 }
 
-TEST_F(SiteProcesses, ACutOffSiteIsLostToTheOthersAndAccusesNobody) {
+TEST_F(SiteProcesses, APartitionedSiteIsLostToTheOthersAndAccusesNobody) {
   cluster->relay().Part({0, 3});
-  ASSERT_TRUE(Soon([&] { return Agree({1, 2, 4, 5}, {"lost", "up", "up"}); }));
-  EXPECT_TRUE(Soon([&] { return All({0, 3}, "cut off", 6); }));
-  EXPECT_TRUE(Agree({0, 3}, {"up", "up", "up"}));  // the last that was agreed
+  ASSERT_TRUE(Eventually([&] { return Agree({1, 2, 4, 5}, {"lost", "up", "up"}); }));
+  EXPECT_TRUE(Eventually([&] { return AllHave({0, 3}, "cut off", 6); }));
+  EXPECT_TRUE(Agree({0, 3}, {"up", "up", "up"}));  // the last agreed state
   cluster->relay().Heal();
-  EXPECT_TRUE(Soon([&] { return AllUp(); }));
+  EXPECT_TRUE(Eventually([&] { return AllUp(); }));
 }
 
-// Frozen past its leases and thawed: its members take nobody for lost for what they did not hear.
-TEST_F(SiteProcesses, AFrozenSiteIsLostAndTakesNobodyElseForLost) {
+// Frozen past its leases and resumed: its members must not report other sites lost for packets that they
+// missed.
+TEST_F(SiteProcesses, AFrozenSiteIsLostAndAccusesNobodyElse) {
   cluster->Freeze(2), cluster->Freeze(5);
-  ASSERT_TRUE(Soon([&] { return Agree({0, 1, 3, 4}, {"up", "up", "lost"}); }));
+  ASSERT_TRUE(Eventually([&] { return Agree({0, 1, 3, 4}, {"up", "up", "lost"}); }));
   cluster->Thaw(2), cluster->Thaw(5);
-  EXPECT_TRUE(Soon([&] { return AllUp(); }));
+  EXPECT_TRUE(Eventually([&] { return AllUp(); }));
   for (const int i : {2, 5}) {
     EXPECT_EQ(cluster->Log(i).find("site=s0 state=lost"), std::string::npos);
     EXPECT_EQ(cluster->Log(i).find("site=s1 state=lost"), std::string::npos);
   }
 }
 
-// It hears all, and nobody hears it: lost to the others, and cut off by its own word.
-TEST_F(SiteProcesses, ASiteThatOnlyHearsIsLost) {
+// The site receives everything and nobody receives its packets: it is lost to the others, and reports itself
+// cut off.
+TEST_F(SiteProcesses, ASiteThatOnlyReceivesIsLost) {
   for (const int from : {1, 4})
     for (const int to : {0, 2, 3, 5}) cluster->relay().Cut(from, to);
-  ASSERT_TRUE(Soon([&] { return Agree({0, 2, 3, 5}, {"up", "lost", "up"}); }));
-  EXPECT_TRUE(Soon([&] { return cluster->Fleet(1)["standing"] == "cut off"; }));
+  ASSERT_TRUE(Eventually([&] { return Agree({0, 2, 3, 5}, {"up", "lost", "up"}); }));
+  EXPECT_TRUE(Eventually([&] { return cluster->Fleet(1)["standing"] == "cut off"; }));
   cluster->relay().Heal();
-  EXPECT_TRUE(Soon([&] { return AllUp(); }));
+  EXPECT_TRUE(Eventually([&] { return AllUp(); }));
 }
 
-TEST_F(SiteProcesses, DiscoveryDeadOnOneSideIsNoLostSite) {
+TEST_F(SiteProcesses, DiscoveryLostAtOneSiteDoesNotLoseTheSite) {
   own.Down(true);
-  ASSERT_TRUE(Soon([&] { return Agree({0, 1, 2, 3, 4, 5}, {"no-list", "up", "up"}); }));
-  EXPECT_TRUE(Settled());  // its members are there, and connected
+  ASSERT_TRUE(Eventually([&] { return Agree({0, 1, 2, 3, 4, 5}, {"no-list", "up", "up"}); }));
+  EXPECT_TRUE(AllConnected());  // its members are there, and connected
   own.Down(false);
-  EXPECT_TRUE(Soon([&] { return AllUp(); }));
+  EXPECT_TRUE(Eventually([&] { return AllUp(); }));
 }
 
 TEST_F(SiteProcesses, TwoSitesLostInTurn) {
   cluster->Kill(1), cluster->Kill(4);
-  ASSERT_TRUE(Soon([&] { return Agree({0, 2, 3, 5}, {"up", "lost", "up"}); }));
+  ASSERT_TRUE(Eventually([&] { return Agree({0, 2, 3, 5}, {"up", "lost", "up"}); }));
   cluster->Start(1), cluster->Start(4);
-  ASSERT_TRUE(Soon([&] { return Agree({0, 3}, {"up", "returning", "up"}); }));
+  ASSERT_TRUE(Eventually([&] { return Agree({0, 3}, {"up", "returning", "up"}); }));
   cluster->Kill(2), cluster->Kill(5);
-  ASSERT_TRUE(Soon([&] { return Agree({0, 1, 3, 4}, {"up", "up", "lost"}); }));
+  ASSERT_TRUE(Eventually([&] { return Agree({0, 1, 3, 4}, {"up", "up", "lost"}); }));
   cluster->Start(2), cluster->Start(5);
-  EXPECT_TRUE(Soon([&] { return AllUp(); }));
+  EXPECT_TRUE(Eventually([&] { return AllUp(); }));
 }
 
-// The coordinator goes down with its site: the next one finds the site lost all the same.
-TEST_F(SiteProcesses, TheCoordinatorsOwnSite) {
-  ASSERT_TRUE(Soon([&] { return cluster->Holder() >= 0; }));
+// The coordinator dies with its site: the next coordinator must still detect the loss.
+TEST_F(SiteProcesses, LossOfTheCoordinatorsSiteIsDetected) {
+  ASSERT_TRUE(Eventually([&] { return cluster->Holder() >= 0; }));
   const int site = cluster->Holder() % 3;
   cluster->Kill(site), cluster->Kill(site + 3);
   std::vector<int> rest;
@@ -116,7 +118,7 @@
     if (i % 3 != site) rest.push_back(i);
   std::vector<std::string> states = {"up", "up", "up"};
   states[static_cast<std::size_t>(site)] = "lost";
-  EXPECT_TRUE(Soon([&] { return Agree(rest, states); }));
+  EXPECT_TRUE(Eventually([&] { return Agree(rest, states); }));
 }
 
 }  // namespace
--- a/tests/fleet/sites_test.cpp
+++ b/tests/fleet/sites_test.cpp
@@ -1,4 +1,4 @@
-// The state of whole sites: the decision alone, then whole fleets on a virtual network.
+// The state of whole sites: SiteMonitor on its own, then whole fleets on a virtual network.
 #include "fleet/sites.h"
 
 #include <gtest/gtest.h>
@@ -8,20 +8,20 @@
 namespace indigosaddle::fleet::testing {
 namespace {
 
-class SitesTest : public ::testing::Test {
+class SiteMonitorTest : public ::testing::Test {
  protected:
   SiteRules rules;
-  Sites sites{rules};
+  SiteMonitor sites{rules};
   std::optional<SiteStatus> agreed;
-  static SiteReport Well() { return {4, 4, 4, 0, 0, 8, 0}; }
-  static SiteReport Gone(int accusers) { return {4, 0, 0, 0, 0, 8, accusers}; }
-  SiteState At(Micros now, const SiteReport& report) {
-    agreed = sites.Decide("s", report, agreed, now);
+  static SiteTally Well() { return {4, 4, 4, 0, 0, 8, 0}; }
+  static SiteTally Gone(int accusers) { return {4, 0, 0, 0, 0, 8, accusers}; }
+  SiteState At(Micros now, const SiteTally& tally) {
+    agreed = sites.Decide("s", tally, agreed, now);
     return agreed->state;
   }
 };
 
-TEST_F(SitesTest, IsLostByAgreementOnly) {
+TEST_F(SiteMonitorTest, IsLostByAgreementOnly) {
   EXPECT_EQ(At(seconds(0), Well()), SiteState::kUp);
   EXPECT_EQ(At(seconds(1), Gone(1)), SiteState::kUp);
   EXPECT_EQ(At(seconds(2), Gone(5)), SiteState::kUp);  // of eight elsewhere six are two thirds
@@ -29,30 +29,30 @@
   EXPECT_EQ(agreed->losses, 1);
 }
 
-// What the coordinator alone does not see is not lost while it sees the site itself, whoever accuses.
-TEST_F(SitesTest, IsNotLostWhileAnyOfItIsSeen) {
-  SiteReport report = Gone(8);
-  report.present = 1;
-  EXPECT_EQ(At(seconds(0), report), SiteState::kThin);
+// A site of which the coordinator sees a member is not lost, however many members accuse it.
+TEST_F(SiteMonitorTest, IsNotLostWhileAnyOfItIsSeen) {
+  SiteTally tally = Gone(8);
+  tally.present = 1;
+  EXPECT_EQ(At(seconds(0), tally), SiteState::kDegraded);
 }
 
-TEST_F(SitesTest, TellsAThinnedSiteFromOneWithoutListOrClients) {
-  SiteReport report = Well();
-  report.present = report.touch = 3;
-  EXPECT_EQ(At(seconds(0), report), SiteState::kThin);
-  report = Well();
-  report.without_clients = 4;
-  EXPECT_EQ(At(seconds(1), report), SiteState::kNoClients);
-  report.without_list = 3;
-  EXPECT_EQ(At(seconds(2), report), SiteState::kNoList);
-  report.without_list = report.without_clients = 1;  // one member's own trouble
-  EXPECT_EQ(At(seconds(3), report), SiteState::kUp);
+TEST_F(SiteMonitorTest, TellsADegradedSiteFromOneWithoutListOrClients) {
+  SiteTally tally = Well();
+  tally.present = tally.in_contact = 3;
+  EXPECT_EQ(At(seconds(0), tally), SiteState::kDegraded);
+  tally = Well();
+  tally.without_clients = 4;
+  EXPECT_EQ(At(seconds(1), tally), SiteState::kNoClients);
+  tally.without_list = 3;
+  EXPECT_EQ(At(seconds(2), tally), SiteState::kNoList);
+  tally.without_list = tally.without_clients = 1;  // a single member's own problem
+  EXPECT_EQ(At(seconds(3), tally), SiteState::kUp);
 }
 
-TEST_F(SitesTest, ReturnsOnceAllHaveSeenItForLongEnough) {
+TEST_F(SiteMonitorTest, ReturnsOnceAllHaveSeenItForLongEnough) {
   At(seconds(0), Well());
   At(seconds(1), Gone(8));
-  SiteReport seen = Well();
+  SiteTally seen = Well();
   seen.accusers = 2;
   EXPECT_EQ(At(seconds(10), seen), SiteState::kReturning);
   EXPECT_EQ(At(seconds(100), seen), SiteState::kReturning);  // two still see nobody of it
@@ -61,8 +61,8 @@
   EXPECT_EQ(At(seconds(131), Well()), SiteState::kUp);
 }
 
-// Each further loss within the hour doubles the span, up to the bound; an hour without one forgets.
-TEST_F(SitesTest, FlappingMakesTheReturnSlower) {
+// Each further loss within the hour doubles the hold, up to the limit; an hour without a loss resets it.
+TEST_F(SiteMonitorTest, FlappingMakesTheReturnSlower) {
   EXPECT_EQ(sites.Hold(1), seconds(30));
   EXPECT_EQ(sites.Hold(3), seconds(120));
   EXPECT_EQ(sites.Hold(1000), rules.max_return_hold);
@@ -78,23 +78,23 @@
   EXPECT_EQ(agreed->losses, 0);
 }
 
-// A coordinator that follows another knows what was agreed, not since when: it begins the span anew.
-TEST_F(SitesTest, ANewCoordinatorGoesOnWithWhatWasAgreed) {
+// A new coordinator knows what was agreed, but not since when: it starts the hold anew.
+TEST_F(SiteMonitorTest, ANewCoordinatorContinuesFromTheAgreedStatus) {
   agreed = SiteStatus{SiteState::kReturning, 2};
   EXPECT_EQ(At(seconds(1000), Well()), SiteState::kReturning);
   EXPECT_EQ(At(seconds(1059), Well()), SiteState::kReturning);
   EXPECT_EQ(At(seconds(1061), Well()), SiteState::kUp);
 }
 
-TEST_F(SitesTest, WordsAreReadAsWritten) {
-  const SiteStatus word{SiteState::kNoClients, 12};
-  EXPECT_EQ(SiteStatus::Parse(word.Text()), word);
-  MemberSight sight;
-  sight.touch = true, sight.list = false, sight.unseen = {"a b", "c"};
-  EXPECT_EQ(MemberSight::Parse(sight.Text()), sight);
+TEST_F(SiteMonitorTest, SerializedTextsAreParsedBack) {
+  const SiteStatus status{SiteState::kNoClients, 12};
+  EXPECT_EQ(SiteStatus::Parse(status.Serialize()), status);
+  MemberObservation observation;
+  observation.in_contact = true, observation.has_list = false, observation.unseen_sites = {"a b", "c"};
+  EXPECT_EQ(MemberObservation::Parse(observation.Serialize()), observation);
   for (const char* rubbish : {"", "up", "up\n", "up\nx", "gone\n1", "up\n1\n2"})
     EXPECT_FALSE(SiteStatus::Parse(rubbish));
-  EXPECT_FALSE(MemberSight::Parse("tl"));
+  EXPECT_FALSE(MemberObservation::Parse("tl"));
 }
 
 class SiteWorld : public ::testing::Test {
@@ -110,11 +110,11 @@
         seconds(60)));
   }
   void TearDown() override {
-    for (const std::string& line : world.broken) ADD_FAILURE() << line;
+    for (const std::string& line : world.violations) ADD_FAILURE() << line;
   }
-  bool Agree(const std::vector<SiteState>& states, const std::set<int>& but = {}) const {
+  bool Agree(const std::vector<SiteState>& states, const std::set<int>& except = {}) const {
     for (int site = 0; site < 3; ++site)
-      if (!world.Agree(site, states[static_cast<std::size_t>(site)], but)) return false;
+      if (!world.Agree(site, states[static_cast<std::size_t>(site)], except)) return false;
     return true;
   }
 };
@@ -133,11 +133,11 @@
   EXPECT_GT(world.now() - seen, seconds(25));
 }
 
-// A cut-off site: the others agree that it is lost; its own members know that they are cut off and accuse
-// nobody.
-TEST_F(SiteWorld, ACutOffSiteIsLostToTheOthersAndAccusesNobody) {
+// A site is partitioned from the others. They agree that it is lost; its own members know that they are
+// isolated and accuse nobody.
+TEST_F(SiteWorld, APartitionedSiteIsLostToTheOthersAndAccusesNobody) {
   const std::set<int> side = world.Site(2);  // one voter of five
-  world.Part(side);
+  world.Partition(side);
   ASSERT_TRUE(world.RunUntil(
       [&] {
         return Agree({SiteState::kUp, SiteState::kUp, SiteState::kLost}, side);
@@ -145,8 +145,8 @@
       seconds(90)));
   world.Run(seconds(120));
   for (const int i : side) {
-    EXPECT_EQ(world.View(i).connectivity, Standing::kCutOff);
-    EXPECT_EQ(world.View(i).sites.at("site0").state, SiteState::kUp) << "the last that was agreed";
+    EXPECT_EQ(world.View(i).connectivity, Connectivity::kIsolated);
+    EXPECT_EQ(world.View(i).sites.at("site0").state, SiteState::kUp) << "the last agreed state";
   }
   world.Heal();
   EXPECT_TRUE(world.RunUntil(
@@ -163,25 +163,27 @@
     world.Run(milliseconds(500));
     for (int i = 0; i < world.size(); ++i) {
       if (world.Frozen(i)) continue;
-      for (const auto& [site, word] : world.View(i).sites) ASSERT_NE(word.state, SiteState::kLost) << site;
+      for (const auto& [site, status] : world.View(i).sites)
+        ASSERT_NE(status.state, SiteState::kLost) << site;
     }
   }
-  EXPECT_EQ(world.View(0).sites.at("site1").state, SiteState::kThin);
+  EXPECT_EQ(world.View(0).sites.at("site1").state, SiteState::kDegraded);
 }
 
-// All links between two sites are lost, each reaches the third: nobody is lost, for two thirds do not accuse.
+// Two sites cannot reach each other, but both reach the third. No site is lost, as fewer than two thirds
+// accuse.
 TEST_F(SiteWorld, TwoSitesThatDoNotReachEachOtherAreNotLost) {
   for (const int a : world.Site(0))
     for (const int b : world.Site(1)) world.Cut(a, b), world.Cut(b, a);
   for (int step = 0; step < 120; ++step) {
     world.Run(seconds(1));
-    for (const auto& [site, word] : world.View(29).sites) ASSERT_NE(word.state, SiteState::kLost) << site;
+    for (const auto& [site, status] : world.View(29).sites) ASSERT_NE(status.state, SiteState::kLost) << site;
   }
 }
 
-TEST_F(SiteWorld, ASiteThatLostOnlyDiscoveryOrOnlyItsClientsIsToldApart) {
-  for (const int i : world.Site(0)) world.Traits(i, false, true);
-  for (const int i : world.Site(1)) world.Traits(i, true, false);
+TEST_F(SiteWorld, SitesWithoutDiscoveryOrClientsAreNotLost) {
+  for (const int i : world.Site(0)) world.SetLocalConditions(i, false, true);
+  for (const int i : world.Site(1)) world.SetLocalConditions(i, true, false);
   EXPECT_TRUE(world.RunUntil(
       [&] {
         return Agree({SiteState::kNoList, SiteState::kNoClients, SiteState::kUp});
@@ -189,7 +191,7 @@
       seconds(20)));
 }
 
-// Two sites in turn, the coordinator's among them: the second is lost while the first is on its way back.
+// Two sites are lost in turn: the second, the coordinator's, while the first is still returning.
 TEST_F(SiteWorld, TwoSitesLostInTurn) {
   const int coordinators = world.Holder() % 3, other = (coordinators + 1) % 3, third = (coordinators + 2) % 3;
   for (const int i : world.Site(other)) world.Kill(i);
@@ -209,28 +211,28 @@
       seconds(200)));
 }
 
-TEST_F(SiteWorld, TheWholeFleetFrozenAndThawedLosesNoSite) {
+TEST_F(SiteWorld, AFleetThatStallsAsAWholeLosesNoSite) {
   for (int i = 0; i < world.size(); ++i) world.Freeze(i, seconds(15));
   for (int step = 0; step < 120; ++step) {
     world.Run(milliseconds(500));
-    for (const auto& [site, word] : world.View(29).sites) ASSERT_NE(word.state, SiteState::kLost) << site;
+    for (const auto& [site, status] : world.View(29).sites) ASSERT_NE(status.state, SiteState::kLost) << site;
   }
 }
 
-// A word that is not as this program writes it is none: read in part it would hide a loss (whose endpoints
-// then count as warm), make a list of any length of it, or say that discovery is lost.
-TEST(SiteTexts, AnOddTextIsNoWord) {
+// A text that is not in the written format must be rejected. Read in part it could hide a loss (whose
+// endpoints would then count as warm), give a list of any length, or report that discovery is lost.
+TEST(SiteTexts, MalformedTextsAreRejected) {
   EXPECT_TRUE(SiteStatus::Parse("lost\n3"));
   for (const char* text : {"", "lost", "lost\n", "lost\n-1", "lost\n3x", "lost\n3\n", "gone\n3",
                            "lost\n2000000000", "lost\n99999999999"})
     EXPECT_FALSE(SiteStatus::Parse(text)) << text;
-  EXPECT_TRUE(MemberSight::Parse("t-c\nsouth"));
+  EXPECT_TRUE(MemberObservation::Parse("t-c\nsouth"));
   for (const char* text : {"", "tl", "xyz", "TLC", "tlcx", "ltc", "t c\nsouth"})
-    EXPECT_FALSE(MemberSight::Parse(text)) << text;
+    EXPECT_FALSE(MemberObservation::Parse(text)) << text;
 }
 
-// Read in part, cut to an int or missing, it would be fewer senders than there are, and each would send more.
-TEST(SiteTexts, AnOddCountOfSendersIsNone) {
+// A count that is read in part or truncated would be too low, and each sender would send too much.
+TEST(SiteTexts, MalformedSenderCountsAreRejected) {
   EXPECT_EQ(ParseSenders("12"), 12u);
   for (const char* text : {"", "0", "-2", "12x", "1 2", " 12", "4294967297", "99999999999999999999"})
     EXPECT_FALSE(ParseSenders(text)) << text;
--- a/tests/fleet/world.h
+++ b/tests/fleet/world.h
@@ -1,7 +1,6 @@
-// Members of a fleet on a virtual network and virtual clocks, from a seed: the production state machines,
-// hundreds at a time. Packets are lost, delayed, doubled and reordered; links are cut one way or both;
-// members die, come back with or without their memory, stand still, and have clocks that run fast or slow.
-// After every event it is checked that no lease has two holders and that epochs only rise.
+// Simulates hundreds of members (production code, virtual network and clocks) from a seed. Packets are lost,
+// delayed, duplicated, reordered; links are cut one way or both; members die, restart with or without memory,
+// stall, have fast or slow clocks. After each event it checks: no lease has two holders, epochs only rise.
 #pragma once
 
 #include <functional>
@@ -20,9 +19,9 @@
 
 class World {
  public:
-  // Member i stands at site i % sites; the first `voters` vote.
-  World(int members, int sites, int voters, std::uint64_t seed, Timing pace = {})
-      : pace_(pace), random_(seed) {
+  // Member i is at site i % sites; the first `voters` members vote.
+  World(int members, int sites, int voters, std::uint64_t seed, Timing timing = {})
+      : timing_(timing), random_(seed) {
     for (int i = 0; i < members; ++i) {
       roster_.push_back({Name(i), "site" + std::to_string(i % sites), "", i < voters});
       nodes_.emplace_back();
@@ -36,15 +35,15 @@
     FleetOptions options;
     options.name = Name(i);
     options.roster = roster_;
-    options.pace = pace_;
+    options.timing = timing_;
     options.seed = same_seed ? 0 : random_();
     if (!lose_memory) options.memory = node.memory;
     options.start = options.memory.start =
         std::max(node.memory.start + 1, static_cast<std::uint64_t>(now_.count()) + 1);
     options.floor = static_cast<std::uint64_t>(now_.count() / 1000000);
     node.memory = options.memory;
-    node.fleet = std::make_unique<Fleet>(options, Local(i));
-    ++node.life;
+    node.fleet = std::make_unique<Fleet>(options, LocalTime(i));
+    ++node.generation;
     Wake(i, now_);
   }
   void StartAll() {
@@ -54,22 +53,22 @@
     Node& node = nodes_[static_cast<std::size_t>(i)];
     if (node.fleet) node.memory = node.fleet->memory();
     node.fleet.reset();
-    ++node.life;
+    ++node.generation;
   }
   void Leave(int i) {
-    Out out;
-    nodes_[static_cast<std::size_t>(i)].fleet->Leave(Local(i), out);
-    Carry(i, out);
+    Actions actions;
+    nodes_[static_cast<std::size_t>(i)].fleet->Leave(LocalTime(i), actions);
+    Dispatch(i, actions);
     Kill(i);
   }
-  // Stands still until then: packets wait, as they would in a socket.
+  // The member stands still for `span`; its packets wait, as in a socket.
   void Freeze(int i, Micros span) { nodes_[static_cast<std::size_t>(i)].frozen_until = now_ + span; }
-  void Rate(int i, double rate) { nodes_[static_cast<std::size_t>(i)].rate = rate; }
+  void SetClockRate(int i, double rate) { nodes_[static_cast<std::size_t>(i)].rate = rate; }
   void Cut(int from, int to, bool cut = true) {
     cut ? void(cuts_.insert({from, to})) : void(cuts_.erase({from, to}));
   }
-  // Both ways between those of one side and all others.
-  void Part(const std::set<int>& side) {
+  // Cuts all links between the members of `side` and all others, both ways.
+  void Partition(const std::set<int>& side) {
     for (int a = 0; a < size(); ++a)
       for (int b = 0; b < size(); ++b)
         if (side.contains(a) != side.contains(b)) Cut(a, b);
@@ -89,17 +88,17 @@
         events_.push(event);
         continue;
       }
-      Out out;
+      Actions actions;
       if (event.packet) {
         ++packets;
-        node.fleet->OnPacket(*event.packet, Local(event.to), out);
+        node.fleet->OnPacket(*event.packet, LocalTime(event.to), actions);
         if (event.packet->kind == PacketKind::kExchange) Answer(event);
       } else {
-        if (event.life != node.life || event.wake != node.wake) continue;
-        node.fleet->Tick(Local(event.to), out);
+        if (event.generation != node.generation || event.wake_number != node.wake_number) continue;
+        node.fleet->Tick(LocalTime(event.to), actions);
       }
-      Carry(event.to, out);
-      Wake(event.to, Global(event.to, node.fleet->NextDue()));
+      Dispatch(event.to, actions);
+      Wake(event.to, GlobalTime(event.to, node.fleet->NextDue()));
       Check(event.to);
     }
     now_ = end;
@@ -112,19 +111,19 @@
     return holds();
   }
 
-  void Traits(int i, bool list, bool clients) {
+  void SetLocalConditions(int i, bool list, bool clients) {
     nodes_[static_cast<std::size_t>(i)].fleet->SetLocalConditions(list, clients);
   }
-  std::set<int> Site(int site) const {  // its members
+  std::set<int> Site(int site) const {  // numbers of its members
     std::set<int> members;
     for (int i = 0; i < size(); ++i)
       if (roster_[static_cast<std::size_t>(i)].site == "site" + std::to_string(site)) members.insert(i);
     return members;
   }
-  // Whether all members that are up and not of `but` agree on the state of a site.
-  bool Agree(int site, SiteState state, const std::set<int>& but = {}) const {
+  // Whether all running members outside `except` agree on the state of a site.
+  bool Agree(int site, SiteState state, const std::set<int>& except = {}) const {
     for (int i = 0; i < size(); ++i) {
-      if (!Up(i) || but.contains(i)) continue;
+      if (!Up(i) || except.contains(i)) continue;
       const auto sites = At(i).SitesAgreed();
       const auto it = sites.find("site" + std::to_string(site));
       if (it == sites.end() || it->second.state != state) return false;
@@ -132,7 +131,7 @@
     return true;
   }
   const Fleet& At(int i) const { return *nodes_[static_cast<std::size_t>(i)].fleet; }
-  Snapshot View(int i) const { return nodes_[static_cast<std::size_t>(i)].fleet->View(Local(i)); }
+  Snapshot View(int i) const { return nodes_[static_cast<std::size_t>(i)].fleet->View(LocalTime(i)); }
   bool Up(int i) const { return nodes_[static_cast<std::size_t>(i)].fleet != nullptr; }
   bool Frozen(int i) const { return now_ < nodes_[static_cast<std::size_t>(i)].frozen_until; }
   Liveness Sees(int i, int other) const {
@@ -142,7 +141,7 @@
   }
   int Holder(const std::string& lease = kCoordinator) const {
     for (int i = 0; i < size(); ++i)
-      if (Up(i) && !Frozen(i) && At(i).Leases(Local(i)).contains(lease)) return i;
+      if (Up(i) && !Frozen(i) && At(i).Leases(LocalTime(i)).contains(lease)) return i;
     return -1;
   }
   bool AllSeeAll() const {
@@ -155,16 +154,16 @@
   std::mt19937_64& random() { return random_; }
 
   Network network;
-  bool same_seed = false;  // all files say the same
+  bool same_seed = false;  // all members get the same seed
   std::uint64_t packets = 0, bytes = 0;
-  std::vector<std::string> broken;  // what must never be
-  std::function<void(int, const Packet&)> sent = [](int, const Packet&) {};
+  std::vector<std::string> violations;  // violated invariants
+  std::function<void(int, const Packet&)> on_packet_sent = [](int, const Packet&) {};
 
  private:
   struct Node {
     std::unique_ptr<Fleet> fleet;
-    Memory memory;
-    int life = 0, wake = 0;
+    VoterMemory memory;
+    int generation = 0, wake_number = 0;
     double rate = 1;
     Micros frozen_until{0};
   };
@@ -172,27 +171,27 @@
     Micros at;
     std::uint64_t order;
     int to;
-    int life, wake;                        // of a tick
+    int generation, wake_number;           // of a tick
     std::shared_ptr<const Packet> packet;  // null: a tick
     int from = -1;
     bool operator<(const Event& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
   };
 
-  Micros Local(int i) const {
+  Micros LocalTime(int i) const {
     return Micros(static_cast<std::int64_t>(static_cast<double>(now_.count()) *
                                             nodes_[static_cast<std::size_t>(i)].rate));
   }
-  Micros Global(int i, Micros local) const {
+  Micros GlobalTime(int i, Micros local) const {
     const double at = static_cast<double>(local.count()) / nodes_[static_cast<std::size_t>(i)].rate;
     return at > 9e15 ? Micros(static_cast<std::int64_t>(9e15)) : Micros(static_cast<std::int64_t>(at) + 1);
   }
   void Wake(int i, Micros at) {
     Node& node = nodes_[static_cast<std::size_t>(i)];
-    events_.push({std::max(at, now_), ++order_, i, node.life, ++node.wake, nullptr});
+    events_.push({std::max(at, now_), ++order_, i, node.generation, ++node.wake_number, nullptr});
   }
   Micros Delay() {
-    const auto spread = static_cast<std::uint64_t>((network.most - network.least).count() + 1);
-    return network.least + Micros(static_cast<std::int64_t>(random_() % spread));
+    const auto spread = static_cast<std::uint64_t>((network.max_delay - network.min_delay).count() + 1);
+    return network.min_delay + Micros(static_cast<std::int64_t>(random_() % spread));
   }
   bool Chance(double share) { return static_cast<double>(random_() >> 11) * 0x1p-53 < share; }
   void Deliver(int from, int to, std::shared_ptr<const Packet> packet, bool stream = false) {
@@ -200,44 +199,44 @@
     events_.push({now_ + Delay(), ++order_, to, 0, 0, packet, from});
     if (!stream && Chance(network.doubled)) events_.push({now_ + Delay(), ++order_, to, 0, 0, packet, from});
   }
-  void Carry(int i, const Out& out) {
-    for (const auto& [to, packet] : out.packets) {
-      sent(i, packet);
+  void Dispatch(int i, const Actions& actions) {
+    for (const auto& [to, packet] : actions.packets) {
+      on_packet_sent(i, packet);
       Deliver(i, Number(to), std::make_shared<Packet>(packet));
     }
-    for (const std::string& with : out.exchanges) {
+    for (const std::string& with : actions.exchanges) {
       const int to = Number(with);
       if (!cuts_.contains({to, i}))  // a connection needs both ways
         Deliver(i, to,
-                std::make_shared<Packet>(nodes_[static_cast<std::size_t>(i)].fleet->ExchangeWord(false)),
+                std::make_shared<Packet>(nodes_[static_cast<std::size_t>(i)].fleet->ExchangePacket(false)),
                 true);
     }
   }
   void Answer(const Event& event) {
     if (cuts_.contains({event.from, event.to})) return;
     Deliver(event.to, event.from,
-            std::make_shared<Packet>(nodes_[static_cast<std::size_t>(event.to)].fleet->ExchangeWord(true)),
+            std::make_shared<Packet>(nodes_[static_cast<std::size_t>(event.to)].fleet->ExchangePacket(true)),
             true);
   }
-  // F1 and F2. One that stands still does nothing on a lease that it believes to hold.
+  // Checks F1 and F2 (fleet.h). A member that stands still cannot act on a lease that it believes to hold.
   void Check(int changed) {
     if (!roster_[static_cast<std::size_t>(changed)].votes) return;
     std::map<std::string, int> holders;
     for (int i = 0; i < size(); ++i) {
       if (!roster_[static_cast<std::size_t>(i)].votes || !Up(i) || Frozen(i)) continue;
-      for (const auto& [resource, lease] : At(i).Leases(Local(i))) {
+      for (const auto& [resource, lease] : At(i).Leases(LocalTime(i))) {
         const auto [it, first] = holders.emplace(resource, i);
-        if (!first) broken.push_back(resource + " is held by " + Name(it->second) + " and " + Name(i));
+        if (!first) violations.push_back(resource + " is held by " + Name(it->second) + " and " + Name(i));
         auto& [epoch, holder] = epochs_[resource];
         if (lease.epoch < epoch || (lease.epoch == epoch && epoch > 0 && holder != i))
-          broken.push_back(resource + ": epoch " + std::to_string(lease.epoch) + " after " +
-                           std::to_string(epoch));
+          violations.push_back(resource + ": epoch " + std::to_string(lease.epoch) + " after " +
+                               std::to_string(epoch));
         epoch = std::max(epoch, lease.epoch), holder = i;
       }
     }
   }
 
-  Timing pace_;
+  Timing timing_;
   std::mt19937_64 random_;
   std::vector<Peer> roster_;
   std::vector<Node> nodes_;
