--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -108,10 +108,10 @@
     prober_.OnRefutation();
     ++refuted_;
   }
-  Prober::ProbeMessages messages;
-  prober_.Tick(now, messages);
-  quorum_contact_.Tick(now, prober_, messages);
-  Dispatch(messages, actions);
+  Prober::ProbeMessages probes;
+  prober_.Tick(now, probes);
+  quorum_contact_.Tick(now, prober_, probes);
+  Dispatch(probes, actions);
   if (now >= gossip_at_ && !gossip_.empty()) {
     gossip_at_ = now + options_.timing.probe_every / kGossipRoundsPerProbe;
     for (const std::string& name : prober_.RandomMembers(kGossipFanOut, ""))
@@ -175,18 +175,16 @@
     acceptor_.SilenceUntil(now + 2 * options_.timing.lease);
   }
   Merge(packet, now);
-  Prober::ProbeMessages messages;
+  Prober::ProbeMessages probes;
   switch (packet.kind) {
     case PacketKind::kPing:
       if (packet.target == options_.name) Send(PacketKind::kAck, packet.from, packet.seq, "", actions);
       break;
     case PacketKind::kAck:
       quorum_contact_.OnAck(packet.from, packet.seq);
-      prober_.OnAck(packet.from, packet.seq, messages);
-      break;
-    case PacketKind::kPingReq:
-      prober_.OnPingReq(packet.from, packet.seq, packet.target, now, messages);
+      prober_.OnAck(packet.from, packet.seq, probes);
       break;
+    case PacketKind::kPingReq: prober_.OnPingReq(packet.from, packet.seq, packet.target, now, probes); break;
     case PacketKind::kNack: prober_.OnNack(packet.seq); break;
     case PacketKind::kLease:
       if (packet.electorate == electorate_) OnLeases(packet, now, actions);
@@ -198,7 +196,7 @@
       break;
     case PacketKind::kGossip: break;
   }
-  Dispatch(messages, actions);
+  Dispatch(probes, actions);
 }
 
 Packet Fleet::ExchangePacket(bool answer) const {
