--- a/src/fleet/published.h
+++ b/src/fleet/published.h
@@ -1,6 +1,6 @@
-// The latest snapshot of the fleet's thread, for other threads, by read-copy-update (liburcu, QSBR): to look
-// at it takes one load, no lock, no allocation, and never waits for the writer. The writer waits for readers
-// instead, before it frees an old one.
+// Publishes the fleet thread's latest snapshot to other threads by read-copy-update (liburcu, QSBR): a read
+// takes one load, without a lock or an allocation, and never waits for the writer. The writer instead waits
+// for readers before it frees an old snapshot.
 #pragma once
 
 #include <atomic>
@@ -10,31 +10,36 @@
 
 namespace indigosaddle::fleet {
 
-class Published {
+// Owns the current snapshot.
+class PublishedSnapshot {
  public:
-  Published();
-  ~Published();  // no reader and no writer may be left
-  Published(const Published&) = delete;
-  Published& operator=(const Published&) = delete;
-
-  // One thread at a time; not one that reads. Waits until no reader can see the one before.
+  PublishedSnapshot();
+  // No reader and no writer may be left.
+  ~PublishedSnapshot();
+  PublishedSnapshot(const PublishedSnapshot&) = delete;
+  PublishedSnapshot& operator=(const PublishedSnapshot&) = delete;
+
+  // Replaces the snapshot and waits until no reader can see the previous one. Called by one thread at a time,
+  // and not by one that reads.
   void Publish(std::unique_ptr<const Snapshot> snapshot);
 
-  // One a thread, made and ended on it. Between looks the thread rests and holds nobody up.
+  // Registers a reading thread. At most one per thread, created and destroyed on it. Outside its read
+  // sections the thread is offline and does not delay the writer.
   class Reader {
    public:
-    explicit Reader(const Published& published);
+    explicit Reader(const PublishedSnapshot& published);
     ~Reader();
     Reader(const Reader&) = delete;
     Reader& operator=(const Reader&) = delete;
 
-    // While one lives, all that get() gave stays. Short: the writer waits for its end.
-    class Look {
+    // A read-side critical section: what get() returned stays valid until it ends. Keep it short, because the
+    // writer waits for its end.
+    class ReadSection {
      public:
-      explicit Look(const Reader& reader);
-      ~Look();
-      Look(const Look&) = delete;
-      Look& operator=(const Look&) = delete;
+      explicit ReadSection(const Reader& reader);
+      ~ReadSection();
+      ReadSection(const ReadSection&) = delete;
+      ReadSection& operator=(const ReadSection&) = delete;
       const Snapshot& get() const { return *reader_.published_.current_.load(std::memory_order_acquire); }
 
      private:
@@ -42,7 +47,7 @@
     };
 
    private:
-    const Published& published_;
+    const PublishedSnapshot& published_;
   };
 
  private:
