--- a/tests/brain_bucket_test.cpp
+++ b/tests/brain_bucket_test.cpp
@@ -13,14 +13,14 @@
   explicit Bench(Settings s, int kind = 0, std::vector<EndpointId> ids = {"a"}) : node(std::move(s)) {
     node.Turn(kStart, [&] {
       std::vector<Endpoint> list;
-      for (const EndpointId& id : ids) list.push_back(TestNode::At(7, id, 0, kind));
-      node.List(list);
+      for (const EndpointId& id : ids) list.push_back(TestNode::MakeEndpoint(7, id, 0, kind));
+      node.UpdateList(list);
     });
   }
   void Feed(Micros from, Micros to, Micros every,
-            const std::function<std::optional<Reply>(const Sent&)>& answer) {
+            const std::function<std::optional<Reply>(const SendRecord&)>& answer) {
     node.Run(from, to, answer, [&](Micros now) {
-      if ((now - from) % every == Micros(0)) node.Take(++last, 7, seconds(600));
+      if ((now - from) % every == Micros(0)) node.Enqueue(++last, 7, seconds(600));
     });
   }
   TestNode node;
@@ -41,7 +41,7 @@
 
 TEST(Bucket, OpenUntilTheFirstRefusalWhateverIsTold) {
   Bench bench(Roomy());
-  bench.Feed(kStart, kStart + seconds(5), milliseconds(50), [](const Sent&) { return Ok(2); });
+  bench.Feed(kStart, kStart + seconds(5), milliseconds(50), [](const SendRecord&) { return Ok(2); });
   EXPECT_GE(bench.node.CountSends(kStart, kStart + seconds(5)), 98);
 }
 
@@ -51,7 +51,7 @@
     Bench bench(s);
     int left = refusals;
     const Micros cut = kStart + seconds(3);
-    bench.Feed(kStart, kStart + seconds(12), milliseconds(50), [&](const Sent& sent) {
+    bench.Feed(kStart, kStart + seconds(12), milliseconds(50), [&](const SendRecord& sent) {
       if (sent.at >= cut && left > 0) return --left, Full(40);
       return Ok(40);
     });
@@ -70,7 +70,7 @@
   Bench bench(s);
   const Micros cut = kStart + seconds(3);
   int left = 6;
-  bench.Feed(kStart, kStart + seconds(8), milliseconds(50), [&](const Sent& sent) {
+  bench.Feed(kStart, kStart + seconds(8), milliseconds(50), [&](const SendRecord& sent) {
     return sent.at >= cut && left > 0 ? (--left, Full(limit)) : Ok(limit);
   });
   return bench.node.CountSends(cut + seconds(2), cut + seconds(3));
@@ -90,7 +90,7 @@
   Bench bench(Roomy());
   const Micros cut = kStart + seconds(3);
   int left = 6;
-  const auto answer = [&](const Sent& sent) {
+  const auto answer = [&](const SendRecord& sent) {
     return sent.at >= cut && left > 0 ? (--left, Full(40)) : Ok(40);
   };
   bench.Feed(kStart, cut + seconds(1), milliseconds(50), answer);
@@ -115,12 +115,13 @@
 TEST(Bucket, ReopensWhenUnrefusedForAWhile) {
   Bench bench(Roomy());
   bool refused = false;
-  bench.Feed(kStart, kStart + seconds(1), milliseconds(100), [&](const Sent&) {
+  bench.Feed(kStart, kStart + seconds(1), milliseconds(100), [&](const SendRecord&) {
     if (refused) return Ok(4);
     refused = true;
     return Full(4);
   });
-  bench.Feed(kStart + seconds(1), kStart + seconds(40), milliseconds(100), [](const Sent&) { return Ok(4); });
+  bench.Feed(kStart + seconds(1), kStart + seconds(40), milliseconds(100),
+             [](const SendRecord&) { return Ok(4); });
   EXPECT_LE(bench.node.CountSends(kStart + seconds(5), kStart + seconds(10)), 5 * 5);
   EXPECT_GE(bench.node.CountSends(kStart + seconds(30), kStart + seconds(40)), 95);
 }
@@ -129,7 +130,7 @@
   Bench bench(Roomy());
   const Micros told = kStart + seconds(2);
   bool refused = false;
-  bench.Feed(kStart, kStart + seconds(4), milliseconds(100), [&](const Sent& sent) {
+  bench.Feed(kStart, kStart + seconds(4), milliseconds(100), [&](const SendRecord& sent) {
     if (refused || sent.at < told) return Ok();
     refused = true;
     return Reply{Result::kFull, milliseconds(20), milliseconds(800)};
@@ -143,7 +144,7 @@
   s.kinds[1].per_call = 1;
   Bench bench(s, 1, {"a", "b"});
   bench.Feed(kStart, kStart + seconds(4), milliseconds(100),
-             [](const Sent& sent) { return sent.endpoint == "a" ? Full(4) : Ok(4); });
+             [](const SendRecord& sent) { return sent.endpoint == "a" ? Full(4) : Ok(4); });
   const int a = bench.node.CountSends(kStart + seconds(1), kStart + seconds(4), "a");
   const int b = bench.node.CountSends(kStart + seconds(1), kStart + seconds(4), "b");
   EXPECT_GT(b, 2 * a);  // b stays open
@@ -152,7 +153,7 @@
 
 TEST(Bucket, LaneIdleForAMinuteIsDropped) {
   Bench bench(Roomy());
-  bench.Feed(kStart, kStart + seconds(1), milliseconds(100), [](const Sent&) { return Ok(); });
+  bench.Feed(kStart, kStart + seconds(1), milliseconds(100), [](const SendRecord&) { return Ok(); });
   EXPECT_EQ(bench.node.brain().footprint().lanes, 1U);
   bench.node.Turn(kStart + seconds(50));
   EXPECT_EQ(bench.node.brain().footprint().lanes, 1U);
--- a/tests/brain_connection_trust_test.cpp
+++ b/tests/brain_connection_trust_test.cpp
@@ -132,11 +132,13 @@
 // Guards against a call during a wait that was told by the own answer of a call which a copy has ended.
 TEST(ConnectionTrust, AWaitToldOutsideOfACallPausesItsDestination) {
   TestNode node(BaseSettings());
-  node.Turn(seconds(1), [&] { node.List({TestNode::At(1, "a"), TestNode::At(2, "b")}); });
+  node.Turn(seconds(1), [&] {
+    node.UpdateList({TestNode::MakeEndpoint(1, "a"), TestNode::MakeEndpoint(2, "b")});
+  });
   node.Turn(seconds(2), [&] {
     node.brain().OnToldWait("a", milliseconds(500));
-    node.Take(1, 1);
-    node.Take(2, 2);
+    node.Enqueue(1, 1);
+    node.Enqueue(2, 2);
   });
   EXPECT_EQ(node.CountSends(1), 0);
   EXPECT_EQ(node.CountSends(2), 1);
--- a/tests/brain_endings_test.cpp
+++ b/tests/brain_endings_test.cpp
@@ -21,10 +21,11 @@
   TestNode node(InOrder());
   node.answers_at_once = false;
   node.Turn(kBegin, [&] {
-    node.List({TestNode::At(7, "a", 0, 0, EndpointState::kDraining), TestNode::At(8, "b")});
-    node.Take(1, 7, seconds(1), "k");
-    node.Take(2, 8, seconds(20), "k");
-    node.Take(3, 8, seconds(20), "other");
+    node.UpdateList(
+        {TestNode::MakeEndpoint(7, "a", 0, 0, EndpointState::kDraining), TestNode::MakeEndpoint(8, "b")});
+    node.Enqueue(1, 7, seconds(1), "k");
+    node.Enqueue(2, 8, seconds(20), "k");
+    node.Enqueue(3, 8, seconds(20), "other");
   });
   EXPECT_EQ(node.CountSends(MessageId{3}), 1);
   node.Turn(kBegin + milliseconds(995));
@@ -42,9 +43,9 @@
   for (const bool untold : {true, false}) {
     TestNode node(InOrder());
     node.Turn(kBegin, [&] {
-      node.List({TestNode::At(7, "a"), TestNode::At(8, "b")});
-      node.Take(1, 7, seconds(1), "k");
-      node.Take(2, 8, seconds(20), "k");
+      node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
+      node.Enqueue(1, 7, seconds(1), "k");
+      node.Enqueue(2, 8, seconds(20), "k");
     });
     node.Turn(kBegin + milliseconds(990), [&] {
       Outcome outcome;
@@ -65,14 +66,14 @@
     TestNode node(InOrder());
     node.answers_at_once = false;
     node.Turn(kBegin, [&] {
-      node.List({TestNode::At(7, "a"), TestNode::At(8, "b")});
-      node.Take(1, 7, seconds(1), "k");
-      node.Take(2, 8, seconds(20), "k");
+      node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
+      node.Enqueue(1, 7, seconds(1), "k");
+      node.Enqueue(2, 8, seconds(20), "k");
     });
     node.Turn(kBegin + seconds(1) + milliseconds(5));
     ASSERT_TRUE(node.Failed(1));
     const auto told = [&] { node.brain().OnAnswerTold(1); };
-    const auto settled = [&] { node.Settle(1, Result::kNoConnection); };
+    const auto settled = [&] { node.ReportOutcome(1, Result::kNoConnection); };
     node.Turn(kBegin + seconds(2), [&] { answer_first ? told() : settled(); });
     node.Turn(kBegin + seconds(3));
     EXPECT_EQ(node.CountSends(MessageId{2}), 0) << answer_first;
@@ -88,11 +89,11 @@
   TestNode node(InOrder());
   node.answers_at_once = false;
   node.Turn(kBegin, [&] {
-    node.List({TestNode::At(7, "a")});
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
     Message over{1, 0, 0, "k", kBegin + seconds(9), 7, 1};
     over.ended = true;
-    node.Give(over);
-    node.Give({2, 0, 0, "k", kBegin + seconds(9), 7, 2});
+    node.EnqueueMessage(over);
+    node.EnqueueMessage({2, 0, 0, "k", kBegin + seconds(9), 7, 2});
   });
   node.Turn(kBegin + seconds(1));
   EXPECT_TRUE(node.sends.empty());
@@ -109,11 +110,11 @@
   s.classes[0].key_ttl = seconds(1);
   TestNode node(s);
   node.Turn(kBegin, [&] {
-    node.List({TestNode::At(7, "a")});
-    node.Take(1, 7);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+    node.Enqueue(1, 7);
   });
   ASSERT_EQ(node.CountSends(MessageId{1}), 1);
-  node.Turn(kBegin + milliseconds(300), [&] { node.Settle(1, Result::kReset); });
+  node.Turn(kBegin + milliseconds(300), [&] { node.ReportOutcome(1, Result::kReset); });
   for (Micros now = kBegin + milliseconds(310); now < kBegin + milliseconds(780); now += milliseconds(10))
     node.Turn(now);
   ASSERT_EQ(node.CountSends(MessageId{1}), 2);
@@ -129,10 +130,10 @@
   s.classes[0].key_ttl = seconds(1);
   TestNode node(s);
   node.Turn(kBegin, [&] {
-    node.List({TestNode::At(7, "a")});
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
     Message resumed{1, 0, 0, "", kBegin + seconds(20), 7};
     resumed.past = {1, true, kBegin - milliseconds(750), 0};
-    node.Give(resumed);
+    node.EnqueueMessage(resumed);
   });
   ASSERT_EQ(node.CountSends(MessageId{1}), 1);
   EXPECT_TRUE(node.brain().MayStillStart(1, kBegin + milliseconds(40)));
@@ -142,8 +143,8 @@
 TEST(LateConnection, ACallDoesNotBeginAfterItsMessagesTime) {
   TestNode node(BaseSettings());
   node.Turn(kBegin, [&] {
-    node.List({TestNode::At(7, "a")});
-    node.Take(1, 7, seconds(1));
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+    node.Enqueue(1, 7, seconds(1));
   });
   ASSERT_EQ(node.CountSends(MessageId{1}), 1);
   EXPECT_TRUE(node.brain().MayStillStart(1, kBegin + milliseconds(990)));
@@ -155,21 +156,21 @@
 TEST(OutdatedList, NothingNewIsSentUntilAListHasCome) {
   TestNode node(BaseSettings());
   node.Turn(kBegin, [&] {
-    node.List({TestNode::At(7, "a"), TestNode::At(8, "b")});
-    node.Take(1, 7);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
+    node.Enqueue(1, 7);
     node.brain().OnListOutdated(kBegin + seconds(2));
   });
   EXPECT_EQ(node.CountSends(MessageId{1}), 1);
   EXPECT_TRUE(node.brain().MayStillStart(1, kBegin + milliseconds(1999)));
   EXPECT_FALSE(node.brain().MayStillStart(1, kBegin + seconds(2)));
-  node.Turn(kBegin + milliseconds(1900), [&] { node.Take(2, 8); });
+  node.Turn(kBegin + milliseconds(1900), [&] { node.Enqueue(2, 8); });
   EXPECT_EQ(node.CountSends(MessageId{2}), 1);
-  node.Turn(kBegin + seconds(2), [&] { node.Take(3, 8), node.Take(4, 8, seconds(1)); });
+  node.Turn(kBegin + seconds(2), [&] { node.Enqueue(3, 8), node.Enqueue(4, 8, seconds(1)); });
   node.Turn(kBegin + milliseconds(2995));
   EXPECT_EQ(node.CountSends(MessageId{3}), 0);
   EXPECT_TRUE(node.Refused(4));
   EXPECT_EQ(node.answers[3], 0);
-  node.Turn(kBegin + seconds(4), [&] { node.List({}, false); });  // nothing has changed
+  node.Turn(kBegin + seconds(4), [&] { node.UpdateList({}, false); });  // nothing has changed
   EXPECT_EQ(node.CountSends(MessageId{3}), 1);
 }
 
--- a/tests/brain_events_test.cpp
+++ b/tests/brain_events_test.cpp
@@ -51,9 +51,10 @@
     std::vector<Endpoint> entries;
     for (std::uint64_t d = 1; d <= 5; ++d) {
       const auto state = random_() % 8 == 0 ? EndpointState::kDraining : EndpointState::kReady;
-      if (random_() % 6 != 0) entries.push_back(TestNode::At(d, "e" + std::to_string(d), 0, 0, state));
+      if (random_() % 6 != 0)
+        entries.push_back(TestNode::MakeEndpoint(d, "e" + std::to_string(d), 0, 0, state));
     }
-    node_.List(entries, whole);
+    node_.UpdateList(entries, whole);
     for (const Endpoint& entry : entries) listed_.insert(entry.destination);
   }
 
@@ -67,7 +68,7 @@
         const Micros life = milliseconds(20 + random_() % 3000);
         const std::uint64_t destination = 1 + random_() % 7;  // two of them never listed
         messages_[id] = {destination, now_ + life, 0, false, false};
-        return node_.Take(id, destination, life, random_() % 4 == 0 ? "key" : "");
+        return node_.Enqueue(id, destination, life, random_() % 4 == 0 ? "key" : "");
       }
       case 4: {
         if (messages_.empty()) return;
@@ -94,7 +95,7 @@
     const Result result = results[random_() % 5];
     const Micros wait =
         result == Result::kFull && random_() % 2 == 0 ? milliseconds(random_() % 4000) : milliseconds(0);
-    node_.Settle(id, Reply{result, milliseconds(0), wait}, result == Result::kOk);
+    node_.ReportOutcome(id, Reply{result, milliseconds(0), wait}, result == Result::kOk);
     settled.out = false;
     if (result == Result::kOk) settled.over = true;
     Micros& paused = paused_[settled.destination];
--- a/tests/brain_many_senders_test.cpp
+++ b/tests/brain_many_senders_test.cpp
@@ -24,13 +24,15 @@
 // is known to be crowded.
 int SendsWhileConnectsFail(Micros latency) {
   TestNode node(ManySenders());
-  node.Turn(kStart, [&] { node.List({TestNode::At(7, "a"), TestNode::At(8, "b")}); });
-  node.Turn(kStart, [&] { node.Take(1, 8); });
+  node.Turn(kStart, [&] {
+    node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
+  });
+  node.Turn(kStart, [&] { node.Enqueue(1, 8); });
   node.Turn(kStart + milliseconds(10),
-            [&] { node.Settle(1, Result::kNoConnection); });  // full: it fails at once
-  node.Turn(kStart + seconds(1), [&] { node.Take(2, 7); });
+            [&] { node.ReportOutcome(1, Result::kNoConnection); });  // full: it fails at once
+  node.Turn(kStart + seconds(1), [&] { node.Enqueue(2, 7); });
   int failures = 0;
-  node.Run(kStart + seconds(1), kStart + seconds(9), [&](const Sent& sent) -> std::optional<Reply> {
+  node.Run(kStart + seconds(1), kStart + seconds(9), [&](const SendRecord& sent) -> std::optional<Reply> {
     if (sent.endpoint != "a") return Reply{};
     ++failures;
     return Reply{Result::kNoConnection, latency};
@@ -57,13 +59,13 @@
     s.seed = seed;
     TestNode node(s);
     node.Turn(kStart, [&] {
-      node.List({TestNode::At(7, "a")});
-      node.Take(1, 7, seconds(120));
+      node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+      node.Enqueue(1, 7, seconds(120));
     });
     node.Turn(kStart + milliseconds(20), [&] {
-      node.Settle(1, Reply{Result::kFull, milliseconds(20), seconds(6)}, false);
+      node.ReportOutcome(1, Reply{Result::kFull, milliseconds(20), seconds(6)}, false);
     });
-    node.Run(kStart + milliseconds(40), kStart + seconds(60), [](const Sent&) { return Reply{}; });
+    node.Run(kStart + milliseconds(40), kStart + seconds(60), [](const SendRecord&) { return Reply{}; });
     ASSERT_LE(node.CountSends(MessageId{1}), 2) << seed;
     if (node.CountSends(MessageId{1}) < 2) continue;  // its part of what 200 may send has not come up yet
     const Micros after = node.sends.back().at - kStart - milliseconds(6020);
@@ -85,10 +87,10 @@
     s.retry_advice = heard;
     TestNode node(s);
     node.Turn(kStart, [&] {
-      node.List({TestNode::At(7, "a")});
-      node.Take(1, 7, seconds(20));
+      node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+      node.Enqueue(1, 7, seconds(20));
     });
-    node.Turn(kStart + milliseconds(50), [&] { node.Settle(1, Result::kFull); });
+    node.Turn(kStart + milliseconds(50), [&] { node.ReportOutcome(1, Result::kFull); });
     ASSERT_TRUE(node.Refused(1));  // in the turn that told it, 20 s before its deadline
     EXPECT_EQ(node.refused[1], heard ? s.max_retry_after : Micros(0));
   }
@@ -101,10 +103,10 @@
     s.price_handshake = price;
     TestNode node(s);
     node.Turn(kStart, [&] {
-      node.List({TestNode::At(7, "a")});
-      node.Take(1, 7);
+      node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+      node.Enqueue(1, 7);
     });
-    node.Turn(kStart + milliseconds(100), [&] { node.Settle(1, Reply{}, true); });
+    node.Turn(kStart + milliseconds(100), [&] { node.ReportOutcome(1, Reply{}, true); });
     EXPECT_EQ(node.closes.size(), price == 0.02 ? 1U : 0U) << price;  // 0: no price is known, all are kept
   }
 }
@@ -119,18 +121,19 @@
     TestNode node(s);
     MessageId id = 0;
     node.Turn(kStart, [&] {
-      Endpoint a = TestNode::At(7, "a");
+      Endpoint a = TestNode::MakeEndpoint(7, "a");
       a.weight = 12;
-      node.List({a});
+      node.UpdateList({a});
     });
     node.Run(
         kStart, kStart + seconds(12),
-        [](const Sent& sent) -> std::optional<Reply> {
+        [](const SendRecord& sent) -> std::optional<Reply> {
           if (sent.at < kStart + seconds(5)) return Reply{Result::kNoConnection, seconds(1)};
           return Reply{};
         },
         [&](Micros now) {
-          while (now == kStart && id < 40) node.Take(++id, 7, seconds(60));  // its own traffic asks for less
+          while (now == kStart && id < 40)
+            node.Enqueue(++id, 7, seconds(60));  // its own traffic asks for less
         });
     return node.CountSends(kStart + seconds(5), kStart + seconds(9));
   };
--- a/tests/brain_odd_test.cpp
+++ b/tests/brain_odd_test.cpp
@@ -13,14 +13,16 @@
 TEST(Endpoint, FailingOneIsPassedOverWhileItsDestinationServes) {
   TestNode node(BaseSettings());
   MessageId id = 0;
-  node.Turn(kStart, [&] { node.List({TestNode::At(7, "bad"), TestNode::At(7, "good")}); });
+  node.Turn(kStart, [&] {
+    node.UpdateList({TestNode::MakeEndpoint(7, "bad"), TestNode::MakeEndpoint(7, "good")});
+  });
   node.Run(
       kStart, kStart + seconds(15),
-      [](const Sent& sent) {
+      [](const SendRecord& sent) {
         return sent.endpoint == "bad" ? Reply{Result::kNoConnection, milliseconds(30)} : Reply{};
       },
       [&](Micros now) {
-        if ((now - kStart) % milliseconds(300) == Micros(0)) node.Take(++id, 7);
+        if ((now - kStart) % milliseconds(300) == Micros(0)) node.Enqueue(++id, 7);
       });
   const int bad = node.CountSends(kStart + seconds(5), kStart + seconds(15), "bad");
   EXPECT_GE(node.CountSends(kStart + seconds(5), kStart + seconds(15), "good"), 30);
@@ -30,19 +32,19 @@
 TEST(Timeout, FollowsSeenLatencyAndGrowsForAMessageThatTimedOut) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "slow")});
-    node.Take(1, 7);
+    node.UpdateList({TestNode::MakeEndpoint(7, "slow")});
+    node.Enqueue(1, 7);
   });
   const Micros first = node.sends.back().timeout;
   EXPECT_EQ(first, seconds(8));  // four aims while nothing is known
-  node.Turn(kStart + seconds(8), [&] { node.Settle(1, Result::kTimeout); });
-  node.Run(kStart + seconds(8) + milliseconds(10), kStart + seconds(14), [](const Sent&) {
+  node.Turn(kStart + seconds(8), [&] { node.ReportOutcome(1, Result::kTimeout); });
+  node.Run(kStart + seconds(8) + milliseconds(10), kStart + seconds(14), [](const SendRecord&) {
     return Reply{Result::kOk, milliseconds(1800)};
   });
   ASSERT_EQ(node.CountSends(MessageId{1}), 2);
   EXPECT_GT(node.sends.back().timeout, first);  // doubled, but not past its deadline
-  node.Turn(kStart + seconds(14), [&] { node.Take(2, 7); });
-  node.Run(kStart + seconds(14) + milliseconds(10), kStart + seconds(20), [](const Sent&) {
+  node.Turn(kStart + seconds(14), [&] { node.Enqueue(2, 7); });
+  node.Run(kStart + seconds(14) + milliseconds(10), kStart + seconds(20), [](const SendRecord&) {
     return Reply{Result::kOk, milliseconds(1800)};  // it may be cold: the call waits for its allowance
   });
   ASSERT_EQ(node.CountSends(MessageId{2}), 1);
@@ -56,9 +58,9 @@
   s.tenants = {{2.0}, {1000.0}};
   TestNode node(s);
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(9, "a", 0, 0, EndpointState::kDraining)});
-    for (MessageId id = 1; id <= 12; ++id) node.Take(id, 9, seconds(20), "", 0, 0);   // floods
-    for (MessageId id = 13; id <= 20; ++id) node.Take(id, 9, seconds(20), "", 0, 1);  // within its share
+    node.UpdateList({TestNode::MakeEndpoint(9, "a", 0, 0, EndpointState::kDraining)});
+    for (MessageId id = 1; id <= 12; ++id) node.Enqueue(id, 9, seconds(20), "", 0, 0);   // floods
+    for (MessageId id = 13; id <= 20; ++id) node.Enqueue(id, 9, seconds(20), "", 0, 1);  // within its share
   });
   EXPECT_FALSE(node.refused.empty());
   for (const auto& [id, wait] : node.refused) {
@@ -74,11 +76,11 @@
   s.tenants = {{2.0}, {1000.0}};
   TestNode node(s);
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a"), TestNode::At(8, "b")});
-    for (MessageId id = 1; id <= 40; ++id) node.Take(id, 7, seconds(18), "", 0, 0);
-    for (MessageId id = 41; id <= 50; ++id) node.Take(id, 8, seconds(18), "", 0, 1);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
+    for (MessageId id = 1; id <= 40; ++id) node.Enqueue(id, 7, seconds(18), "", 0, 0);
+    for (MessageId id = 41; id <= 50; ++id) node.Enqueue(id, 8, seconds(18), "", 0, 1);
   });
-  node.Run(kStart + milliseconds(10), kStart + seconds(4), [](const Sent&) { return Reply{}; });
+  node.Run(kStart + milliseconds(10), kStart + seconds(4), [](const SendRecord&) { return Reply{}; });
   std::set<MessageId> first;
   for (std::size_t i = 0; i < 20 && i < node.sends.size(); ++i) first.insert(node.sends[i].id);
   int within = 0;
@@ -93,11 +95,11 @@
   Settings s;
   TestNode node(s);
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a", 3, 5)});
-    node.Take(1, 7, seconds(2), "key", 4, 6);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a", 3, 5)});
+    node.Enqueue(1, 7, seconds(2), "key", 4, 6);
   });
   EXPECT_EQ(node.CountSends(MessageId{1}), 1);
-  node.Turn(kStart + milliseconds(100), [&] { node.Settle(1, Result::kTimeout); });
+  node.Turn(kStart + milliseconds(100), [&] { node.ReportOutcome(1, Result::kTimeout); });
   EXPECT_TRUE(node.Failed(1));  // an unknown class is unsafe
 }
 
@@ -107,19 +109,19 @@
   stray.id = 77;
   stray.endpoint = "nowhere";
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a"), TestNode::At(7, "a")});
+    node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(7, "a")});
     node.brain().OnOutcome(stray);
-    node.Take(1, 7);
-    node.Take(1, 7);
+    node.Enqueue(1, 7);
+    node.Enqueue(1, 7);
   });
   EXPECT_EQ(node.brain().footprint().endpoints, 1U);
   EXPECT_EQ(node.CountSends(MessageId{1}), 1);
   node.Turn(kStart + milliseconds(50), [&] {
-    node.List(
-        {TestNode::At(7, "a", 0, 0, EndpointState::kGone), TestNode::At(9, "z", 0, 0, EndpointState::kGone)},
-        false);
-    node.Settle(1, Result::kOk);
-    node.Settle(1, Result::kOk);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a", 0, 0, EndpointState::kGone),
+                     TestNode::MakeEndpoint(9, "z", 0, 0, EndpointState::kGone)},
+                    false);
+    node.ReportOutcome(1, Result::kOk);
+    node.ReportOutcome(1, Result::kOk);
   });
   node.Turn(kStart + milliseconds(60));
   EXPECT_EQ(node.brain().footprint().messages, 0U);
@@ -137,16 +139,16 @@
   for (int round = 0; round < 400; ++round) {
     const auto destination = static_cast<std::uint64_t>(round);
     const EndpointId endpoint = "e" + std::to_string(round);
-    node.Turn(now, [&] { node.List({TestNode::At(destination, endpoint)}); });
+    node.Turn(now, [&] { node.UpdateList({TestNode::MakeEndpoint(destination, endpoint)}); });
     node.Run(
         now, now + seconds(1),
-        [&](const Sent& sent) {
+        [&](const SendRecord& sent) {
           return Reply{sent.id % 5 == 0 ? Result::kError : Result::kOk, milliseconds(20)};
         },
         [&](Micros at) {
           if ((at - now) % milliseconds(200) == Micros(0)) {
             ++id;
-            node.Take(id, destination, seconds(2), "k" + std::to_string(id));
+            node.Enqueue(id, destination, seconds(2), "k" + std::to_string(id));
           }
         });
     now += seconds(1);
@@ -169,13 +171,14 @@
   s.senders = 300;
   TestNode node(s);
   std::vector<Endpoint> list;
-  for (std::uint64_t i = 0; i < 1000; ++i) list.push_back(TestNode::At(i / 2, "e" + std::to_string(i)));
-  node.Turn(kStart, [&] { node.List(list); });
+  for (std::uint64_t i = 0; i < 1000; ++i)
+    list.push_back(TestNode::MakeEndpoint(i / 2, "e" + std::to_string(i)));
+  node.Turn(kStart, [&] { node.UpdateList(list); });
   MessageId id = 0;
   node.Run(
-      kStart, kStart + seconds(100), [](const Sent&) { return Reply{}; },
+      kStart, kStart + seconds(100), [](const SendRecord&) { return Reply{}; },
       [&](Micros at) {
-        if ((at - kStart) % milliseconds(500) == Micros(0)) ++id, node.Take(id, id % 500);
+        if ((at - kStart) % milliseconds(500) == Micros(0)) ++id, node.Enqueue(id, id % 500);
         EXPECT_LE(node.brain().footprint().lanes, 2U * 66);  // used within the minute and a walk's time
       });
   EXPECT_EQ(id, 200U);
@@ -184,7 +187,7 @@
   EXPECT_EQ(node.brain().footprint().endpoints, 1000U);
   node.Turn(kStart + seconds(101), [&] {
     list.resize(10);
-    node.List(list);
+    node.UpdateList(list);
   });
   node.Turn(kStart + seconds(165));
   node.Turn(kStart + seconds(230));
@@ -196,15 +199,15 @@
 TEST(Wait, OutlivesAnEndpointsAbsenceFromTheList) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a", 0, 1)});
-    node.Take(1, 7);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a", 0, 1)});
+    node.Enqueue(1, 7);
   });
   node.Turn(kStart + milliseconds(50), [&] {
-    node.Settle(1, {Result::kFull, milliseconds(50), seconds(8)}, false);
+    node.ReportOutcome(1, {Result::kFull, milliseconds(50), seconds(8)}, false);
   });
-  node.Turn(kStart + seconds(1), [&] { node.List({}); });
+  node.Turn(kStart + seconds(1), [&] { node.UpdateList({}); });
   node.Turn(kStart + seconds(6));
-  node.Turn(kStart + seconds(7), [&] { node.List({TestNode::At(7, "a", 0, 1)}); });
+  node.Turn(kStart + seconds(7), [&] { node.UpdateList({TestNode::MakeEndpoint(7, "a", 0, 1)}); });
   EXPECT_EQ(node.CountSends(MessageId{1}), 1);
   node.Turn(kStart + seconds(9));
   EXPECT_EQ(node.CountSends(MessageId{1}), 2);
@@ -214,19 +217,22 @@
   auto play = [] {
     TestNode node(BaseSettings());
     MessageId id = 0;
-    node.Turn(kStart, [&] { node.List({TestNode::At(7, "a"), TestNode::At(7, "b"), TestNode::At(8, "c")}); });
+    node.Turn(kStart, [&] {
+      node.UpdateList(
+          {TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(7, "b"), TestNode::MakeEndpoint(8, "c")});
+    });
     node.Run(
         kStart, kStart + seconds(5),
-        [](const Sent& sent) {
+        [](const SendRecord& sent) {
           return Reply{sent.id % 7 == 0 ? Result::kFull : Result::kOk, milliseconds(30 + 10 * (sent.id % 9))};
         },
         [&](Micros now) {
           if ((now - kStart) % milliseconds(70) != Micros(0)) return;
           ++id;
-          node.Take(id, id % 3 == 0 ? 8 : 7);
+          node.Enqueue(id, id % 3 == 0 ? 8 : 7);
         });
     std::vector<std::pair<MessageId, EndpointId>> sends;
-    for (const Sent& sent : node.sends) sends.emplace_back(sent.id, sent.endpoint);
+    for (const SendRecord& sent : node.sends) sends.emplace_back(sent.id, sent.endpoint);
     return sends;
   };
   EXPECT_EQ(play(), play());
--- a/tests/brain_resumed_test.cpp
+++ b/tests/brain_resumed_test.cpp
@@ -25,9 +25,9 @@
   settings.classes[0].deadline = seconds(100);
   TestNode node(settings);
   node.Turn(seconds(10), [&] {
-    node.List({TestNode::At(1, "a")});
-    node.Give(Resumed(1, {1, true, seconds(9), 0}));
-    node.Give(Resumed(2, {3, false, Micros(0), 0}));
+    node.UpdateList({TestNode::MakeEndpoint(1, "a")});
+    node.EnqueueMessage(Resumed(1, {1, true, seconds(9), 0}));
+    node.EnqueueMessage(Resumed(2, {3, false, Micros(0), 0}));
   });
   EXPECT_TRUE(node.Failed(1));
   EXPECT_FALSE(node.Refused(1));
@@ -38,9 +38,9 @@
 TEST(Resumed, AKeyedMessageGoesAgainOnlyInItsKeysLife) {
   TestNode node(BaseSettings());
   node.Turn(seconds(30), [&] {
-    node.List({TestNode::At(1, "a")});
-    node.Give(Resumed(1, {1, true, seconds(29), 0}));
-    node.Give(Resumed(2, {1, true, seconds(5), 0}));  // 25 s ago, remembered for 20 s
+    node.UpdateList({TestNode::MakeEndpoint(1, "a")});
+    node.EnqueueMessage(Resumed(1, {1, true, seconds(29), 0}));
+    node.EnqueueMessage(Resumed(2, {1, true, seconds(5), 0}));  // 25 s ago, remembered for 20 s
   });
   EXPECT_EQ(node.CountSends(1), 1);
   EXPECT_EQ(node.CountSends(2), 0);
@@ -52,9 +52,9 @@
 TEST(Resumed, AKeyedMessageThatRanInTheFutureGoesNotAgain) {
   TestNode node(BaseSettings());
   node.Turn(seconds(30), [&] {
-    node.List({TestNode::At(1, "a")});
-    node.Give(Resumed(1, {1, true, seconds(30) + Micros(1), 0}));
-    node.Give(Resumed(2, {1, true, seconds(30), 0}));
+    node.UpdateList({TestNode::MakeEndpoint(1, "a")});
+    node.EnqueueMessage(Resumed(1, {1, true, seconds(30) + Micros(1), 0}));
+    node.EnqueueMessage(Resumed(2, {1, true, seconds(30), 0}));
   });
   EXPECT_EQ(node.CountSends(1), 0);
   EXPECT_EQ(node.answers[1], 1);
@@ -66,8 +66,8 @@
   settings.max_attempts = 4;
   TestNode node(settings);
   node.Turn(seconds(10), [&] {
-    node.List({TestNode::At(1, "a")});
-    node.Give(Resumed(1, {4, false, Micros(0), 0}));
+    node.UpdateList({TestNode::MakeEndpoint(1, "a")});
+    node.EnqueueMessage(Resumed(1, {4, false, Micros(0), 0}));
   });
   EXPECT_EQ(node.CountSends(1), 0);
   EXPECT_TRUE(node.Refused(1));
@@ -79,16 +79,16 @@
   settings.turn_gap = milliseconds(300);
   TestNode node(settings);
   node.Turn(seconds(10), [&] {
-    node.List({TestNode::At(1, "a")});
-    node.Give(Resumed(1, {1, true, seconds(9), 0}, "k"));
-    node.Give(Resumed(2, {}, "k"));
+    node.UpdateList({TestNode::MakeEndpoint(1, "a")});
+    node.EnqueueMessage(Resumed(1, {1, true, seconds(9), 0}, "k"));
+    node.EnqueueMessage(Resumed(2, {}, "k"));
   });
   EXPECT_EQ(node.CountSends(1), 1);  // has the turn, and may be tried again
-  node.Turn(seconds(10) + milliseconds(100), [&] { node.Settle(1, Result::kOk); });
+  node.Turn(seconds(10) + milliseconds(100), [&] { node.ReportOutcome(1, Result::kOk); });
   EXPECT_EQ(node.CountSends(2), 0);
   // What was tried before the restart makes its destination unsure, so that the next call waits for its
   // allowance.
-  node.Run(seconds(10) + milliseconds(301), seconds(16), [](const Sent&) { return Reply{}; });
+  node.Run(seconds(10) + milliseconds(301), seconds(16), [](const SendRecord&) { return Reply{}; });
   EXPECT_EQ(node.CountSends(2), 1);
 }
 
@@ -100,10 +100,10 @@
   const auto taken = [&](MessageId id, const std::string& key) {
     Message message = Resumed(id, {}, key);
     message.place = id;
-    node.Give(message);
+    node.EnqueueMessage(message);
   };
   node.Turn(seconds(10), [&] {
-    node.List({TestNode::At(1, "a")});
+    node.UpdateList({TestNode::MakeEndpoint(1, "a")});
     taken(100, "out");
   });
   ASSERT_EQ(node.CountSends(100), 1);
@@ -115,10 +115,10 @@
   EXPECT_EQ(node.CountSends(1), 1);
   EXPECT_EQ(node.CountSends(2) + node.CountSends(101) + node.CountSends(3), 0);
   node.Turn(seconds(10) + milliseconds(40),
-            [&] { node.Settle(1, Result::kOk), node.Settle(100, Result::kOk); });
+            [&] { node.ReportOutcome(1, Result::kOk), node.ReportOutcome(100, Result::kOk); });
   EXPECT_EQ(node.CountSends(2), 1);
   EXPECT_EQ(node.CountSends(3), 1);
-  node.Turn(seconds(10) + milliseconds(60), [&] { node.Settle(2, Result::kOk); });
+  node.Turn(seconds(10) + milliseconds(60), [&] { node.ReportOutcome(2, Result::kOk); });
   EXPECT_EQ(node.CountSends(101), 1);
   EXPECT_EQ(node.CountSends(102), 0);
 }
@@ -127,21 +127,22 @@
   TestNode node(BaseSettings());
   node.Run(
       Micros(0), seconds(2),
-      [](const Sent&) {
+      [](const SendRecord&) {
         return Reply{Result::kOk, milliseconds(100)};
       },
       [&](Micros now) {
-        if (now == Micros(0)) node.List({TestNode::At(1, "a"), TestNode::At(2, "b")});
-        if (now.count() % 100000 == 0) node.Take(static_cast<MessageId>(now.count() / 100000 + 1), 1);
+        if (now == Micros(0))
+          node.UpdateList({TestNode::MakeEndpoint(1, "a"), TestNode::MakeEndpoint(2, "b")});
+        if (now.count() % 100000 == 0) node.Enqueue(static_cast<MessageId>(now.count() / 100000 + 1), 1);
       });
   node.Turn(seconds(2), [&] {
     node.brain().OnStop(seconds(3));
-    node.Take(1000001, 1);  // known to take about 100 ms
-    node.Take(1000002, 2);  // never seen: could take its whole time-out
+    node.Enqueue(1000001, 1);  // known to take about 100 ms
+    node.Enqueue(1000002, 2);  // never seen: could take its whole time-out
   });
   EXPECT_EQ(node.CountSends(1000001), 1);
   EXPECT_EQ(node.CountSends(1000002), 0);
-  node.Turn(seconds(3) - milliseconds(50), [&] { node.Take(1000003, 1); });
+  node.Turn(seconds(3) - milliseconds(50), [&] { node.Enqueue(1000003, 1); });
   EXPECT_EQ(node.CountSends(1000003), 0);
   EXPECT_EQ(node.answers[1000003], 0);  // kept: it is resumed after the stop
 }
@@ -149,16 +150,17 @@
 TEST(StillStart, WhatWasToldMeanwhileBindsACallThatHasNotBegun) {
   TestNode node(BaseSettings());
   node.Turn(seconds(1), [&] {
-    node.List({TestNode::At(1, "a"), TestNode::At(2, "b"), TestNode::At(3, "c")});
-    for (MessageId id : {1, 2, 3}) node.Take(id, id);
-    node.Take(4, 2);
+    node.UpdateList(
+        {TestNode::MakeEndpoint(1, "a"), TestNode::MakeEndpoint(2, "b"), TestNode::MakeEndpoint(3, "c")});
+    for (MessageId id : {1, 2, 3}) node.Enqueue(id, id);
+    node.Enqueue(4, 2);
   });
   ASSERT_EQ(node.sends.size(), 4u);
   for (MessageId id : {1, 2, 3, 4}) EXPECT_TRUE(node.brain().MayStillStart(id, seconds(1)));
   EXPECT_FALSE(node.brain().MayStillStart(9, seconds(1)));
   node.Turn(seconds(1) + milliseconds(10), [&] {
-    node.List({TestNode::At(1, "a", 0, 0, EndpointState::kDraining)}, false);
-    node.Settle(4, Reply{Result::kFull, milliseconds(10), milliseconds(500)}, false);
+    node.UpdateList({TestNode::MakeEndpoint(1, "a", 0, 0, EndpointState::kDraining)}, false);
+    node.ReportOutcome(4, Reply{Result::kFull, milliseconds(10), milliseconds(500)}, false);
     node.brain().OnWithdrawn(3);
   });
   EXPECT_FALSE(node.brain().MayStillStart(1, seconds(1) + milliseconds(20)));  // rule 3
--- a/tests/brain_rules_overlap_test.cpp
+++ b/tests/brain_rules_overlap_test.cpp
@@ -21,24 +21,24 @@
   for (const bool longer_first : {true, false}) {
     TestNode node(BaseSettings());
     node.Turn(kBegin, [&] {
-      node.List({TestNode::At(7, "a"), TestNode::At(7, "b")});
-      for (MessageId id = 1; id <= 2; ++id) node.Take(id, 7);
+      node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(7, "b")});
+      for (MessageId id = 1; id <= 2; ++id) node.Enqueue(id, 7);
     });
     ASSERT_EQ(node.sends.size(), 2U);
     const Micros told = kBegin + milliseconds(50);
     const milliseconds first(longer_first ? 3000 : 200), second(longer_first ? 200 : 3000);
-    node.Turn(told, [&] { node.Settle(1, Reply{Result::kFull, Micros(0), first}, false); });
+    node.Turn(told, [&] { node.ReportOutcome(1, Reply{Result::kFull, Micros(0), first}, false); });
     node.Turn(told + milliseconds(10), [&] {
-      node.Settle(2, Reply{Result::kFull, Micros(0), second}, false);
+      node.ReportOutcome(2, Reply{Result::kFull, Micros(0), second}, false);
     });
     node.Run(
-        told + milliseconds(20), told + seconds(3), [](const Sent&) { return Reply{}; },
+        told + milliseconds(20), told + seconds(3), [](const SendRecord&) { return Reply{}; },
         [&](Micros now) {
           if ((now - told) % milliseconds(200) == Micros(0))
-            node.Take(static_cast<MessageId>(now.count()), 7);
+            node.Enqueue(static_cast<MessageId>(now.count()), 7);
         });
     EXPECT_EQ(node.CountSends(told, told + seconds(3)), 0) << longer_first;
-    node.Run(told + seconds(3), told + seconds(12), [](const Sent&) { return Reply{}; });
+    node.Run(told + seconds(3), told + seconds(12), [](const SendRecord&) { return Reply{}; });
     EXPECT_GT(node.CountSends(told + seconds(3), told + seconds(12)), 2) << longer_first;
   }
 }
@@ -47,17 +47,17 @@
 TEST(SharedKeys, AllOrderedClassesShareTheirKeys) {
   TestNode node(TwoOrderedClasses());
   node.Turn(kBegin, [&] {
-    node.List({TestNode::At(7, "a"), TestNode::At(8, "b")});
-    node.Take(1, 7, seconds(20), "k", 0);
-    node.Take(2, 8, seconds(20), "k", 1);
-    node.Take(3, 8, seconds(20), "k", 0);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
+    node.Enqueue(1, 7, seconds(20), "k", 0);
+    node.Enqueue(2, 8, seconds(20), "k", 1);
+    node.Enqueue(3, 8, seconds(20), "k", 0);
   });
   EXPECT_EQ(node.CountSends(MessageId{1}), 1);
   EXPECT_EQ(node.CountSends(MessageId{2}) + node.CountSends(MessageId{3}), 0);
-  node.Turn(kBegin + milliseconds(100), [&] { node.Settle(1, Result::kOk); });
+  node.Turn(kBegin + milliseconds(100), [&] { node.ReportOutcome(1, Result::kOk); });
   EXPECT_EQ(node.CountSends(MessageId{2}), 1);
   EXPECT_EQ(node.CountSends(MessageId{3}), 0);
-  node.Turn(kBegin + milliseconds(200), [&] { node.Settle(2, Result::kTimeout); });  // may still run
+  node.Turn(kBegin + milliseconds(200), [&] { node.ReportOutcome(2, Result::kTimeout); });  // may still run
   node.Turn(kBegin + milliseconds(250));
   EXPECT_EQ(node.CountSends(MessageId{3}), 0);
 }
@@ -66,22 +66,23 @@
 TEST(SharedKeys, AMessageHandedInAgainTakesTheLastPlace) {
   TestNode node(TwoOrderedClasses());
   node.Turn(kBegin, [&] {
-    node.List({TestNode::At(7, "a", 0, 0, EndpointState::kDraining), TestNode::At(8, "b")});
-    node.Take(1, 7, milliseconds(300), "k");  // nowhere to go: handed back at its time
-    node.Take(2, 7, seconds(20), "k");
-    node.Take(3, 8, seconds(20), "k");
+    node.UpdateList(
+        {TestNode::MakeEndpoint(7, "a", 0, 0, EndpointState::kDraining), TestNode::MakeEndpoint(8, "b")});
+    node.Enqueue(1, 7, milliseconds(300), "k");  // nowhere to go: handed back at its time
+    node.Enqueue(2, 7, seconds(20), "k");
+    node.Enqueue(3, 8, seconds(20), "k");
   });
   node.Turn(kBegin + milliseconds(295));
   ASSERT_TRUE(node.Refused(1));
-  node.Turn(kBegin + milliseconds(310), [&] { node.Take(4, 8, seconds(20), "k"); });  // the same once more
+  node.Turn(kBegin + milliseconds(310), [&] { node.Enqueue(4, 8, seconds(20), "k"); });  // the same once more
   node.Turn(kBegin + milliseconds(400));
   EXPECT_TRUE(node.sends.empty());
-  node.Turn(kBegin + milliseconds(500), [&] { node.List({TestNode::At(7, "a")}, false); });
+  node.Turn(kBegin + milliseconds(500), [&] { node.UpdateList({TestNode::MakeEndpoint(7, "a")}, false); });
   ASSERT_EQ(node.CountSends(MessageId{2}), 1);
-  node.Turn(kBegin + milliseconds(600), [&] { node.Settle(2, Result::kOk); });
+  node.Turn(kBegin + milliseconds(600), [&] { node.ReportOutcome(2, Result::kOk); });
   EXPECT_EQ(node.CountSends(MessageId{3}), 1);
   EXPECT_EQ(node.CountSends(MessageId{4}), 0);
-  node.Turn(kBegin + milliseconds(700), [&] { node.Settle(3, Result::kOk); });
+  node.Turn(kBegin + milliseconds(700), [&] { node.ReportOutcome(3, Result::kOk); });
   EXPECT_EQ(node.CountSends(MessageId{4}), 1);
 }
 
--- a/tests/brain_rules_recovery_test.cpp
+++ b/tests/brain_rules_recovery_test.cpp
@@ -14,21 +14,22 @@
 TEST(Drain, NothingNewToADrainingGoneOrUnlistedEndpoint) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a"), TestNode::At(8, "b"), TestNode::At(9, "c"), TestNode::At(10, "d")});
+    node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b"),
+                     TestNode::MakeEndpoint(9, "c"), TestNode::MakeEndpoint(10, "d")});
   });
   node.Turn(kStart + milliseconds(10), [&] {
-    node.List({TestNode::At(7, "a", 0, 0, EndpointState::kDraining),
-               TestNode::At(8, "b", 0, 0, EndpointState::kGone)},
-              false);
-    node.Take(1, 7);
-    node.Take(2, 8);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a", 0, 0, EndpointState::kDraining),
+                     TestNode::MakeEndpoint(8, "b", 0, 0, EndpointState::kGone)},
+                    false);
+    node.Enqueue(1, 7);
+    node.Enqueue(2, 8);
   });
   node.Turn(kStart + milliseconds(20), [&] {
-    node.List({TestNode::At(10, "d")});  // the whole list: c is gone
-    node.Take(3, 9);
-    node.Take(4, 10);
+    node.UpdateList({TestNode::MakeEndpoint(10, "d")});  // the whole list: c is gone
+    node.Enqueue(3, 9);
+    node.Enqueue(4, 10);
   });
-  node.Run(kStart + milliseconds(30), kStart + seconds(2), [](const Sent&) { return Reply{}; });
+  node.Run(kStart + milliseconds(30), kStart + seconds(2), [](const SendRecord&) { return Reply{}; });
   EXPECT_EQ(node.sends.size(), 1U);
   EXPECT_EQ(node.CountSends(MessageId{4}), 1);
 }
@@ -37,7 +38,7 @@
   Settings s = BaseSettings();
   s.discovery = Discovery::kOnRequest;
   TestNode node(s);
-  node.Turn(kStart, [&] { node.List({TestNode::At(7, "a")}); });
+  node.Turn(kStart, [&] { node.UpdateList({TestNode::MakeEndpoint(7, "a")}); });
   ASSERT_EQ(node.watches.size(), 1U);
   Micros now = kStart;
   for (int i = 0; i < 12; ++i) {  // the list is out of reach
@@ -79,20 +80,20 @@
   TestNode node(s);
   const Micros down = kStart + seconds(10), back = kStart + seconds(19), end = kStart + seconds(32);
   MessageId id = 0;
-  node.Turn(kStart, [&] { node.List({TestNode::At(7, "a", 0, c.kind)}); });
+  node.Turn(kStart, [&] { node.UpdateList({TestNode::MakeEndpoint(7, "a", 0, c.kind)}); });
   node.Run(
       kStart, end,
-      [&](const Sent& sent) -> std::optional<Reply> {
+      [&](const SendRecord& sent) -> std::optional<Reply> {
         if (sent.at < down || sent.at >= back) return Reply{};
         if (c.hangs) return std::nullopt;
         return c.outage;
       },
       [&](Micros now) {
-        if ((now - kStart) % milliseconds(250) == Micros(0)) node.Take(++id, 7, seconds(20));
+        if ((now - kStart) % milliseconds(250) == Micros(0)) node.Enqueue(++id, 7, seconds(20));
       });
   ASSERT_GE(node.CountSends(back, end), 10);  // it is served again
   Micros first_ok = end;
-  for (const Sent& sent : node.sends) {
+  for (const SendRecord& sent : node.sends) {
     if (sent.at >= back) first_ok = std::min(first_ok, sent.at);
   }
   // Later the rate served in the meantime is proof of more.
@@ -123,15 +124,17 @@
   TestNode node(s);
   MessageId id = 0;
   const Micros back = kStart + seconds(16);
-  node.Turn(kStart, [&] { node.List({TestNode::At(7, "a", 0, 1), TestNode::At(7, "b", 0, 1)}); });
+  node.Turn(kStart, [&] {
+    node.UpdateList({TestNode::MakeEndpoint(7, "a", 0, 1), TestNode::MakeEndpoint(7, "b", 0, 1)});
+  });
   node.Run(
       kStart, kStart + seconds(18),
-      [&](const Sent& sent) -> std::optional<Reply> {
+      [&](const SendRecord& sent) -> std::optional<Reply> {
         const bool down = sent.endpoint == "a" && sent.at >= kStart + seconds(4) && sent.at < back;
         return down ? Reply{Result::kNoConnection, milliseconds(20)} : Reply{};
       },
       [&](Micros now) {
-        if ((now - kStart) % milliseconds(100) == Micros(0)) node.Take(++id, 7);
+        if ((now - kStart) % milliseconds(100) == Micros(0)) node.Enqueue(++id, 7);
       });
   EXPECT_GE(node.CountSends(back, back + seconds(2), "b"), 10);  // untouched by its neighbour's outage
   EXPECT_LE(node.CountSends(back, back + seconds(2), "a"), 8);
--- a/tests/brain_rules_test.cpp
+++ b/tests/brain_rules_test.cpp
@@ -13,8 +13,8 @@
 
 TEST(FinalAnswer, HeldMessageIsAnsweredBeforeItsTimeIsUp) {
   TestNode node(BaseSettings());
-  node.Turn(kStart, [&] { node.Take(1, 7, seconds(3)); });  // no endpoint is known
-  node.Run(kStart + milliseconds(10), kStart + seconds(3), [](const Sent&) { return Reply{}; });
+  node.Turn(kStart, [&] { node.Enqueue(1, 7, seconds(3)); });  // no endpoint is known
+  node.Run(kStart + milliseconds(10), kStart + seconds(3), [](const SendRecord&) { return Reply{}; });
   EXPECT_TRUE(node.Refused(1));
   EXPECT_EQ(node.answers[1], 1);
   EXPECT_TRUE(node.sends.empty());
@@ -23,8 +23,8 @@
 TEST(FinalAnswer, InFlightMessageFailsAtItsDeadlineAndIsNotSentAgain) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a")});
-    node.Take(1, 7, seconds(1));
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+    node.Enqueue(1, 7, seconds(1));
   });
   ASSERT_EQ(node.CountSends(MessageId{1}), 1);
   EXPECT_LE(node.sends[0].timeout, seconds(1));  // cut to the time left
@@ -33,8 +33,8 @@
   node.Turn(kStart + seconds(1) + milliseconds(5));
   EXPECT_TRUE(node.Failed(1));
   node.Turn(kStart + seconds(1) + milliseconds(7));  // the attempt is still out: no second answer
-  node.Turn(kStart + seconds(1) + milliseconds(10), [&] { node.Settle(1, Result::kTimeout); });
-  node.Run(kStart + seconds(2), kStart + seconds(3), [](const Sent&) { return Reply{}; });
+  node.Turn(kStart + seconds(1) + milliseconds(10), [&] { node.ReportOutcome(1, Result::kTimeout); });
+  node.Run(kStart + seconds(2), kStart + seconds(3), [](const SendRecord&) { return Reply{}; });
   EXPECT_EQ(node.CountSends(MessageId{1}), 1);
   EXPECT_EQ(node.answers[1], 1);
   EXPECT_EQ(node.brain().footprint().messages, 0U);
@@ -46,8 +46,8 @@
   s.call_slots = 50;
   TestNode node(s);
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a")});
-    for (MessageId id = 1; id <= 6; ++id) node.Take(id, 7);  // more than there is room for
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+    for (MessageId id = 1; id <= 6; ++id) node.Enqueue(id, 7);  // more than there is room for
   });
   EXPECT_FALSE(node.refused.empty());
   for (const auto& [id, wait] : node.refused) EXPECT_EQ(node.CountSends(id), 0);
@@ -57,22 +57,23 @@
 TEST(FinalAnswer, TimeoutAtTheDeadlineIsAnsweredInTheSameTurn) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a")});
-    node.Take(1, 7, seconds(1));
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+    node.Enqueue(1, 7, seconds(1));
   });
-  node.Turn(kStart + seconds(1), [&] { node.Settle(1, Result::kTimeout); });
+  node.Turn(kStart + seconds(1), [&] { node.ReportOutcome(1, Result::kTimeout); });
   EXPECT_EQ(node.answers[1], 1);
 }
 
 TEST(FinalAnswer, DeliveredOrWithdrawnMessagesGetNoneAndAreForgotten) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a"), TestNode::At(8, "b", 0, 0, EndpointState::kDraining)});
-    node.Take(1, 7);
-    node.Take(2, 8);
+    node.UpdateList(
+        {TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b", 0, 0, EndpointState::kDraining)});
+    node.Enqueue(1, 7);
+    node.Enqueue(2, 8);
   });
   node.Turn(kStart + milliseconds(50), [&] {
-    node.Settle(1, Result::kOk);
+    node.ReportOutcome(1, Result::kOk);
     node.brain().OnWithdrawn(2);
     node.brain().OnWithdrawn(99);  // never held
   });
@@ -84,8 +85,8 @@
 TEST(FinalAnswer, WakesForTheDeadline) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a")});
-    node.Take(1, 7, seconds(4));
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+    node.Enqueue(1, 7, seconds(4));
   });
   ASSERT_FALSE(node.timers.empty());
   EXPECT_LE(node.timers.back(), kStart + seconds(4) + milliseconds(5));
@@ -96,10 +97,10 @@
   s.max_attempts = 1;
   TestNode node(s);
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a")});
-    node.Take(1, 7);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+    node.Enqueue(1, 7);
   });
-  node.Turn(kStart + milliseconds(50), [&] { node.Settle(1, Result::kNoConnection); });
+  node.Turn(kStart + milliseconds(50), [&] { node.ReportOutcome(1, Result::kNoConnection); });
   EXPECT_TRUE(node.Refused(1));
 }
 
@@ -123,17 +124,17 @@
   s.classes[0].group = c.group;
   TestNode node(s);
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a", 0)});
-    node.Take(1, 7, seconds(6));
+    node.UpdateList({TestNode::MakeEndpoint(7, "a", 0)});
+    node.Enqueue(1, 7, seconds(6));
   });
   ASSERT_EQ(node.sends.size(), 1U);
-  node.Turn(kStart + milliseconds(100), [&] { node.Settle(1, c.result); });
-  node.Run(kStart + milliseconds(110), kStart + seconds(4), [](const Sent&) {
+  node.Turn(kStart + milliseconds(100), [&] { node.ReportOutcome(1, c.result); });
+  node.Run(kStart + milliseconds(110), kStart + seconds(4), [](const SendRecord&) {
     return Reply{Result::kNoConnection, milliseconds(50)};
   });
   EXPECT_EQ(node.CountSends(MessageId{1}) > 1, c.sent_again);
   EXPECT_TRUE(c.sent_again || node.answers[1] == 1);
-  node.Run(kStart + seconds(4), kStart + seconds(7), [](const Sent&) {
+  node.Run(kStart + seconds(4), kStart + seconds(7), [](const SendRecord&) {
     return Reply{Result::kNoConnection, milliseconds(50)};
   });
   EXPECT_EQ(node.Refused(1), c.refused);
@@ -166,17 +167,18 @@
   s.classes[0].group = Group::kZone;
   TestNode node(s);
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a", 0)});
-    node.Take(1, 7);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a", 0)});
+    node.Enqueue(1, 7);
   });
   node.Turn(kStart + milliseconds(100), [&] {
-    node.List({TestNode::At(7, "a", 0, 0, EndpointState::kDraining), TestNode::At(7, "b", 1)});
-    node.Settle(1, Result::kTimeout);
+    node.UpdateList(
+        {TestNode::MakeEndpoint(7, "a", 0, 0, EndpointState::kDraining), TestNode::MakeEndpoint(7, "b", 1)});
+    node.ReportOutcome(1, Result::kTimeout);
   });
-  node.Run(kStart + milliseconds(110), kStart + seconds(5), [](const Sent&) { return Reply{}; });
+  node.Run(kStart + milliseconds(110), kStart + seconds(5), [](const SendRecord&) { return Reply{}; });
   EXPECT_EQ(node.CountSends(kStart, kStart + seconds(5), "b"), 0);
-  node.Turn(kStart + seconds(5), [&] { node.List({TestNode::At(7, "c", 0)}, false); });
-  node.Run(kStart + seconds(5), kStart + seconds(9), [](const Sent&) { return Reply{}; });
+  node.Turn(kStart + seconds(5), [&] { node.UpdateList({TestNode::MakeEndpoint(7, "c", 0)}, false); });
+  node.Run(kStart + seconds(5), kStart + seconds(9), [](const SendRecord&) { return Reply{}; });
   EXPECT_EQ(node.CountSends(kStart, kStart + seconds(9), "c"), 1);
 }
 
@@ -185,13 +187,13 @@
   s.classes[0].key_ttl = seconds(4);
   TestNode node(s);
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a")});
-    node.Take(1, 7);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+    node.Enqueue(1, 7);
   });
-  node.Run(kStart + milliseconds(10), kStart + seconds(19), [](const Sent&) {
+  node.Run(kStart + milliseconds(10), kStart + seconds(19), [](const SendRecord&) {
     return Reply{Result::kError, milliseconds(50)};
   });
-  node.Turn(kStart + seconds(19), [&] { node.Settle(1, Result::kError); });
+  node.Turn(kStart + seconds(19), [&] { node.ReportOutcome(1, Result::kError); });
   EXPECT_GT(node.CountSends(MessageId{1}), 1);
   EXPECT_EQ(node.CountSends(kStart + seconds(4), kStart + seconds(19)), 0);
   EXPECT_TRUE(node.Refused(1));  // in its group every endpoint drops the repeat: harmless
@@ -200,8 +202,8 @@
 TEST(Effect, NeverTwoAttemptsOut) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a"), TestNode::At(7, "b")});
-    node.Take(1, 7);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(7, "b")});
+    node.Enqueue(1, 7);
   });
   for (int i = 1; i < 50; ++i) node.Turn(kStart + milliseconds(20 * i));  // no outcome yet
   EXPECT_EQ(node.CountSends(MessageId{1}), 1);
--- a/tests/brain_scale_test.cpp
+++ b/tests/brain_scale_test.cpp
@@ -30,8 +30,9 @@
 
 void ListDestinations(TestNode& node, std::uint64_t count) {
   std::vector<Endpoint> list;
-  for (std::uint64_t i = 0; i < count; ++i) list.push_back(TestNode::At(i, "e" + std::to_string(i)));
-  node.Turn(kStart, [&] { node.List(list); });
+  for (std::uint64_t i = 0; i < count; ++i)
+    list.push_back(TestNode::MakeEndpoint(i, "e" + std::to_string(i)));
+  node.Turn(kStart, [&] { node.UpdateList(list); });
 }
 
 Reply Full(double left) { return {Result::kFull, milliseconds(50), Micros(0), 3, left}; }
@@ -46,11 +47,11 @@
   int calls = 0;
   node.Run(
       kStart, kStart + seconds(20),
-      [&](const Sent&) {
+      [&](const SendRecord&) {
         return ++calls % 3 == 0 && fail ? Reply{Result::kNoConnection, milliseconds(30)} : Reply{};
       },
       [&](Micros at) {
-        if ((at - kStart) % milliseconds(200) == Micros(0)) ++id, node.Take(id, id % 40, seconds(20));
+        if ((at - kStart) % milliseconds(200) == Micros(0)) ++id, node.Enqueue(id, id % 40, seconds(20));
       });
   return node.closes.size();
 }
@@ -68,7 +69,7 @@
     MessageId id = 0;
     node.Run(
         kStart, kStart + seconds(60),
-        [&](const Sent& sent) -> std::optional<Reply> {
+        [&](const SendRecord& sent) -> std::optional<Reply> {
           for (; seen < node.closes.size(); ++seen) used.erase(node.closes[seen].second);
           const auto it = used.find(sent.endpoint);
           const bool old = it != used.end() && sent.at - it->second > seconds(1);
@@ -82,7 +83,7 @@
           return Reply{};
         },
         [&](Micros at) {
-          if ((at - kStart) % milliseconds(200) == Micros(0)) ++id, node.Take(id, id % 12, seconds(20));
+          if ((at - kStart) % milliseconds(200) == Micros(0)) ++id, node.Enqueue(id, id % 12, seconds(20));
         });
   }
   TestNode node;
@@ -110,13 +111,14 @@
   ListDestinations(node, 1);
   const Micros second = kStart + seconds(5);
   node.Run(
-      kStart, kStart + seconds(60), [&](const Sent& sent) { return sent.id == 1 ? Full(left) : Reply{}; },
+      kStart, kStart + seconds(60),
+      [&](const SendRecord& sent) { return sent.id == 1 ? Full(left) : Reply{}; },
       [&](Micros at) {
-        if (at == kStart) node.Take(1, 0, seconds(3));
-        if (at == second) node.Take(2, 0, seconds(100));
+        if (at == kStart) node.Enqueue(1, 0, seconds(3));
+        if (at == second) node.Enqueue(2, 0, seconds(100));
       });
   const auto sent =
-      std::find_if(node.sends.begin(), node.sends.end(), [](const Sent& s) { return s.id == 2; });
+      std::find_if(node.sends.begin(), node.sends.end(), [](const SendRecord& s) { return s.id == 2; });
   return sent == node.sends.end() ? seconds(100) : sent->at - second;
 }
 
@@ -126,9 +128,9 @@
   bool refused = false;
   node.Run(
       kStart, kStart + seconds(10),
-      [&](const Sent&) { return std::exchange(refused, true) ? Reply{} : Full(0.1); },
+      [&](const SendRecord&) { return std::exchange(refused, true) ? Reply{} : Full(0.1); },
       [&](Micros at) {
-        if (at == kStart) node.Take(1, 0, seconds(100));
+        if (at == kStart) node.Enqueue(1, 0, seconds(100));
       });
   ASSERT_EQ(node.CountSends(MessageId{1}), 2);
   EXPECT_LE(node.sends.back().at - kStart, milliseconds(2500));
@@ -143,9 +145,9 @@
   TestNode node(OneOfMany(seed));
   ListDestinations(node, 1);
   node.Run(
-      kStart, kStart + seconds(10), [&](const Sent&) { return Full(0.1); },
+      kStart, kStart + seconds(10), [&](const SendRecord&) { return Full(0.1); },
       [&](Micros at) {
-        if (at == kStart) node.Take(1, 0, seconds(100));
+        if (at == kStart) node.Enqueue(1, 0, seconds(100));
       });
   return node.sends.size() < 2 ? seconds(10) : node.sends[1].at - kStart;
 }
@@ -166,12 +168,12 @@
   TestNode node(OneOfMany(seed));
   ListDestinations(node, 1);
   node.Run(
-      kStart, kStart + until, [](const Sent&) { return std::nullopt; },
+      kStart, kStart + until, [](const SendRecord&) { return std::nullopt; },
       [&](Micros at) {
-        if (at == kStart) node.Take(1, 0, seconds(150));
+        if (at == kStart) node.Enqueue(1, 0, seconds(150));
       });
   std::vector<Micros> times;
-  for (const Sent& sent : node.sends) times.push_back(sent.at - kStart);
+  for (const SendRecord& sent : node.sends) times.push_back(sent.at - kStart);
   return times;
 }
 
@@ -208,12 +210,13 @@
   std::set<MessageId> second;
   node.Turn(kStart + seconds(1), [&] {
     for (int round = 0; round < 20; ++round) {
-      for (int i = 0; i < times; ++i) ++id, node.Take(id, id % 80, seconds(198), "", 0, 0);
+      for (int i = 0; i < times; ++i) ++id, node.Enqueue(id, id % 80, seconds(198), "", 0, 0);
       second.insert(++id);
-      node.Take(id, id % 80, seconds(198), "", 0, 1);
+      node.Enqueue(id, id % 80, seconds(198), "", 0, 1);
     }
   });
-  node.Run(kStart + seconds(1) + milliseconds(10), kStart + seconds(6), [](const Sent&) { return Reply{}; });
+  node.Run(kStart + seconds(1) + milliseconds(10), kStart + seconds(6),
+           [](const SendRecord&) { return Reply{}; });
   int calls = 0;
   for (std::size_t i = 0; i < 20 && i < node.sends.size(); ++i) calls += second.contains(node.sends[i].id);
   return calls;
--- a/tests/brain_trial_test.cpp
+++ b/tests/brain_trial_test.cpp
@@ -15,17 +15,17 @@
     TestNode node(BaseSettings());
     MessageId id = 0;
     bool done = false;
-    node.Turn(kStart, [&] { node.List({TestNode::At(7, "a")}); });
+    node.Turn(kStart, [&] { node.UpdateList({TestNode::MakeEndpoint(7, "a")}); });
     node.Run(
         kStart, kStart + seconds(8),
-        [&](const Sent& sent) -> std::optional<Reply> {
+        [&](const SendRecord& sent) -> std::optional<Reply> {
           if (done || sent.at < kStart + seconds(4))
             return Reply{Result::kOk, milliseconds(100), Micros(0), 20};
           done = true;
           return Reply{result, milliseconds(20), Micros(0), 20};
         },
         [&](Micros now) {
-          if ((now - kStart) % milliseconds(200) == Micros(0)) node.Take(++id, 7);
+          if ((now - kStart) % milliseconds(200) == Micros(0)) node.Enqueue(++id, 7);
         });
     EXPECT_GE(node.CountSends(kStart + seconds(5), kStart + seconds(8)), 15);
   }
@@ -35,15 +35,17 @@
   TestNode node(BaseSettings());
   MessageId id = 0;
   int n = 0;
-  node.Turn(kStart, [&] { node.List({TestNode::At(7, "a"), TestNode::At(7, "b")}); });
+  node.Turn(kStart, [&] {
+    node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(7, "b")});
+  });
   node.Run(
       kStart, kStart + seconds(20),
-      [&](const Sent& sent) -> std::optional<Reply> {
+      [&](const SendRecord& sent) -> std::optional<Reply> {
         if (sent.at > kStart + seconds(4) && ++n % 4 == 0) return std::nullopt;  // never answered
         return Reply{Result::kOk, milliseconds(150)};
       },
       [&](Micros now) {
-        if ((now - kStart) % milliseconds(250) == Micros(0)) node.Take(++id, 7);
+        if ((now - kStart) % milliseconds(250) == Micros(0)) node.Enqueue(++id, 7);
       });
   EXPECT_GE(node.CountSends(kStart + seconds(10), kStart + seconds(20)), 39);  // of 40 that come
 }
@@ -52,11 +54,11 @@
   TestNode node(BaseSettings());
   const Micros back = kStart + seconds(12);
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a")});
-    node.Take(1, 7, seconds(60));
-    node.Take(2, 7, seconds(60));
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+    node.Enqueue(1, 7, seconds(60));
+    node.Enqueue(2, 7, seconds(60));
   });
-  node.Run(kStart + milliseconds(10), kStart + seconds(20), [&](const Sent& sent) {
+  node.Run(kStart + milliseconds(10), kStart + seconds(20), [&](const SendRecord& sent) {
     return sent.at < back ? Reply{Result::kNoConnection, milliseconds(30)} : Reply{};
   });
   EXPECT_GE(node.CountSends(back, back + seconds(4)), 1);
@@ -69,10 +71,10 @@
   s.max_attempts = 6;
   TestNode node(s);
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a")});
-    for (MessageId id = 1; id <= 4; ++id) node.Take(id, 7);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+    for (MessageId id = 1; id <= 4; ++id) node.Enqueue(id, 7);
   });
-  node.Run(kStart + milliseconds(10), kStart + seconds(15), [](const Sent&) {
+  node.Run(kStart + milliseconds(10), kStart + seconds(15), [](const SendRecord&) {
     return Reply{Result::kNoConnection, milliseconds(30)};
   });
   int most = 0, least = 100;
@@ -93,16 +95,16 @@
   MessageId id = 0;
   int left = failures;
   const Micros quiet_end = kStart + seconds(10);
-  node.Turn(kStart, [&] { node.List({TestNode::At(7, "a")}); });
+  node.Turn(kStart, [&] { node.UpdateList({TestNode::MakeEndpoint(7, "a")}); });
   node.Run(
       kStart, kStart + seconds(16),
-      [&](const Sent& sent) -> std::optional<Reply> {
+      [&](const SendRecord& sent) -> std::optional<Reply> {
         if (sent.at >= quiet_end && left > 0) return --left, Reply{Result::kError, milliseconds(50)};
         return Reply{};
       },
       [&](Micros now) {
         const bool served = now < kStart + seconds(3) || now >= quiet_end;
-        if (served && (now - kStart) % milliseconds(1000) == Micros(0)) node.Take(++id, 7);
+        if (served && (now - kStart) % milliseconds(1000) == Micros(0)) node.Enqueue(++id, 7);
       });
   return node.CountSends(quiet_end, kStart + seconds(16));
 }
@@ -122,12 +124,12 @@
   s.classes[0].key_ttl = seconds(4);
   TestNode node(s);
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a")});
-    node.Take(1, 7);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+    node.Enqueue(1, 7);
   });
   node.Turn(kStart + seconds(2), [&] {
-    node.Settle(1, Result::kTimeout);
-    for (MessageId id = 2; id <= 6; ++id) node.Take(id, 7, seconds(5));  // late already: each moment costs
+    node.ReportOutcome(1, Result::kTimeout);
+    for (MessageId id = 2; id <= 6; ++id) node.Enqueue(id, 7, seconds(5));  // late already: each moment costs
   });
   ASSERT_EQ(node.sends.size(), 2U);     // one trial
   EXPECT_EQ(node.sends.back().id, 1U);  // in 2 s it could not be sent at all
@@ -136,15 +138,15 @@
 TEST(Trial, WhatRisksNothingMoreServesAsTrial) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a")});
-    node.Take(1, 7, seconds(10));
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+    node.Enqueue(1, 7, seconds(10));
   });
   node.Turn(kStart + seconds(2), [&] {
-    node.Settle(1, Result::kTimeout);
-    for (MessageId id = 2; id <= 6; ++id) node.Take(id, 7, seconds(8));  // as late as the first
+    node.ReportOutcome(1, Result::kTimeout);
+    for (MessageId id = 2; id <= 6; ++id) node.Enqueue(id, 7, seconds(8));  // as late as the first
   });
   EXPECT_EQ(node.sends.back().id, 1U);
-  node.Turn(kStart + seconds(6), [&] { node.Settle(1, Result::kTimeout); });
+  node.Turn(kStart + seconds(6), [&] { node.ReportOutcome(1, Result::kTimeout); });
   EXPECT_EQ(node.sends.back().id, 1U);  // again, and no other was caught
 }
 
@@ -153,18 +155,18 @@
 TEST(Timeout, IsLongWhereAnswerTimesAreNotKnownYetAndOneAimWhereTheyAre) {
   TestNode node(BaseSettings());
   MessageId id = 0;
-  node.Turn(kStart, [&] { node.List({TestNode::At(7, "a")}); });
+  node.Turn(kStart, [&] { node.UpdateList({TestNode::MakeEndpoint(7, "a")}); });
   const auto timeout = [&](Micros at) {
-    node.Turn(at, [&] { node.Take(++id, 7); });
+    node.Turn(at, [&] { node.Enqueue(++id, 7); });
     const Micros given = node.sends.back().timeout;
-    node.Turn(at + milliseconds(100), [&] { node.Settle(id, Reply{}, true); });
+    node.Turn(at + milliseconds(100), [&] { node.ReportOutcome(id, Reply{}, true); });
     return given;
   };
   EXPECT_EQ(timeout(kStart), seconds(8));
   EXPECT_EQ(timeout(kStart + seconds(1)), seconds(1));  // on the connection that was kept: it may be dead
   for (int i = 2; i < 6; ++i) timeout(kStart + seconds(i));
   node.Turn(kStart + seconds(7), [&] {
-    for (int i = 0; i < 3; ++i) node.Take(++id, 7);  // more than connections are kept
+    for (int i = 0; i < 3; ++i) node.Enqueue(++id, 7);  // more than connections are kept
   });
   EXPECT_EQ(node.sends.back().timeout, seconds(2));
 }
@@ -174,11 +176,11 @@
   s.classes[0].effect = Effect::kUnsafe;
   TestNode node(s);
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a")});
-    node.Take(1, 7);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+    node.Enqueue(1, 7);
   });
-  node.Turn(kStart + milliseconds(100), [&] { node.Settle(1, Reply{}, true); });
-  node.Turn(kStart + seconds(1), [&] { node.Take(2, 7); });
+  node.Turn(kStart + milliseconds(100), [&] { node.ReportOutcome(1, Reply{}, true); });
+  node.Turn(kStart + seconds(1), [&] { node.Enqueue(2, 7); });
   EXPECT_EQ(node.sends.back().timeout, seconds(8));
 }
 
--- a/tests/brain_trouble_test.cpp
+++ b/tests/brain_trouble_test.cpp
@@ -14,28 +14,28 @@
 // A client that names a destination at random is turned away; one whose endpoints are just gone is not.
 TEST(Stray, WhatWasNeverOnTheListIsHandedBack) {
   TestNode node(BaseSettings());
-  node.Turn(kStart, [&] { node.Take(1, 9); });
+  node.Turn(kStart, [&] { node.Enqueue(1, 9); });
   EXPECT_TRUE(node.answers.empty());  // no list yet
   node.Turn(kStart + seconds(1), [&] {
-    node.List({TestNode::At(7, "a"), TestNode::At(8, "b")});
-    node.Take(2, 9);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
+    node.Enqueue(2, 9);
   });
   EXPECT_TRUE(node.Refused(1));
   EXPECT_TRUE(node.Refused(2));
   EXPECT_EQ(node.refused[2], BaseSettings().max_retry_after);
-  node.Turn(kStart + seconds(2), [&] { node.List({TestNode::At(8, "b")}); });  // 7 is gone
-  for (int i = 3; i < 12; ++i) node.Turn(kStart + seconds(i));                 // past a walk over the list
-  node.Turn(kStart + seconds(12), [&] { node.Take(3, 7); });
+  node.Turn(kStart + seconds(2), [&] { node.UpdateList({TestNode::MakeEndpoint(8, "b")}); });  // 7 is gone
+  for (int i = 3; i < 12; ++i) node.Turn(kStart + seconds(i));  // past a walk over the list
+  node.Turn(kStart + seconds(12), [&] { node.Enqueue(3, 7); });
   EXPECT_FALSE(node.answers.contains(3));
-  node.Turn(kStart + seconds(13), [&] { node.List({TestNode::At(7, "c")}, false); });
+  node.Turn(kStart + seconds(13), [&] { node.UpdateList({TestNode::MakeEndpoint(7, "c")}, false); });
   EXPECT_EQ(node.CountSends(3), 1);
 }
 
 TEST(Stray, NamesAtRandomLeaveNothingBehind) {
   TestNode node(BaseSettings());
-  node.Turn(kStart, [&] { node.List({TestNode::At(7, "a")}); });
+  node.Turn(kStart, [&] { node.UpdateList({TestNode::MakeEndpoint(7, "a")}); });
   for (MessageId id = 1; id <= 1000; ++id) {
-    node.Turn(kStart + milliseconds(10) * id, [&] { node.Take(id, 1000 + id); });
+    node.Turn(kStart + milliseconds(10) * id, [&] { node.Enqueue(id, 1000 + id); });
   }
   node.Turn(kStart + seconds(20));
   node.Turn(kStart + seconds(21));
@@ -46,26 +46,26 @@
 // A spoilt answer may have run, but says nothing of health: the destination is not taken for down.
 TEST(Spoilt, OneLeavesItsDestinationServedAndARunDoesNot) {
   TestNode node(BaseSettings());
-  node.Turn(kStart, [&] { node.List({TestNode::At(7, "a")}); });
+  node.Turn(kStart, [&] { node.UpdateList({TestNode::MakeEndpoint(7, "a")}); });
   MessageId id = 0;
   const auto serve = [&](Micros from, int count, Result result) {
     for (int i = 0; i < count; ++i) {
-      node.Turn(from + milliseconds(20) * (2 * i), [&] { node.Take(++id, 7); });
-      node.Turn(from + milliseconds(20) * (2 * i + 1), [&] { node.Settle(id, Reply{result}, true); });
+      node.Turn(from + milliseconds(20) * (2 * i), [&] { node.Enqueue(++id, 7); });
+      node.Turn(from + milliseconds(20) * (2 * i + 1), [&] { node.ReportOutcome(id, Reply{result}, true); });
     }
   };
   serve(kStart, 20, Result::kOk);
   serve(kStart + seconds(1), 2, Result::kGarbled);
   EXPECT_EQ(node.CountSends(22), 1);
   node.Turn(kStart + seconds(1) + milliseconds(100), [&] {
-    for (int i = 0; i < 3; ++i) node.Take(++id, 7);
+    for (int i = 0; i < 3; ++i) node.Enqueue(++id, 7);
   });
   EXPECT_EQ(node.CountSends(kStart + seconds(1) + milliseconds(100), kStart + seconds(2)), 3);  // no trial
   for (MessageId m = 23; m <= 25; ++m) {
-    node.Turn(kStart + seconds(2), [&] { node.Settle(m, Reply{Result::kGarbled}, true); });
+    node.Turn(kStart + seconds(2), [&] { node.ReportOutcome(m, Reply{Result::kGarbled}, true); });
   }
   node.Turn(kStart + seconds(2) + milliseconds(10), [&] {
-    for (int i = 0; i < 3; ++i) node.Take(++id, 7);
+    for (int i = 0; i < 3; ++i) node.Enqueue(++id, 7);
   });
   EXPECT_LE(node.CountSends(kStart + seconds(2), kStart + seconds(3)), 1);
 }
@@ -73,20 +73,20 @@
 // Peers that close kept connections early, or reset them under the next call, are not down.
 TEST(Worn, CallsLostWithKeptConnectionsAreNoOutageUnlessInARun) {
   TestNode node(BaseSettings());
-  node.Turn(kStart, [&] { node.List({TestNode::At(7, "a")}); });
+  node.Turn(kStart, [&] { node.UpdateList({TestNode::MakeEndpoint(7, "a")}); });
   MessageId id = 0;
   const auto one = [&](Micros at, Result result) {
-    node.Turn(at, [&] { node.Take(++id, 7); });
-    node.Turn(at + milliseconds(20), [&] { node.Settle(id, Reply{result}, true); });
+    node.Turn(at, [&] { node.Enqueue(++id, 7); });
+    node.Turn(at + milliseconds(20), [&] { node.ReportOutcome(id, Reply{result}, true); });
   };
   const auto burst = [&](Micros at) {  // how many of four go at once
     const MessageId first = id + 1;
     node.Turn(at, [&] {
-      for (int i = 0; i < 4; ++i) node.Take(++id, 7);
+      for (int i = 0; i < 4; ++i) node.Enqueue(++id, 7);
     });
     const int sent = node.CountSends(at, at + Micros(1));
     node.Turn(at + milliseconds(20), [&] {
-      for (MessageId m = first; m <= id; ++m) node.Settle(m, Reply{}, true);
+      for (MessageId m = first; m <= id; ++m) node.ReportOutcome(m, Reply{}, true);
       for (MessageId m = first; m <= id; ++m) node.brain().OnWithdrawn(m);
     });
     return sent;
@@ -102,14 +102,14 @@
 // A peer that refuses is down, whatever this node thought it had kept.
 TEST(Worn, AFailedConnectCountsAtOnce) {
   TestNode node(BaseSettings());
-  node.Turn(kStart, [&] { node.List({TestNode::At(7, "a")}); });
+  node.Turn(kStart, [&] { node.UpdateList({TestNode::MakeEndpoint(7, "a")}); });
   for (MessageId id = 1; id <= 5; ++id) {
-    node.Turn(kStart + milliseconds(100) * id, [&] { node.Take(id, 7); });
+    node.Turn(kStart + milliseconds(100) * id, [&] { node.Enqueue(id, 7); });
     node.Turn(kStart + milliseconds(100) * id + milliseconds(20),
-              [&] { node.Settle(id, Reply{id < 5 ? Result::kOk : Result::kNoConnection}, true); });
+              [&] { node.ReportOutcome(id, Reply{id < 5 ? Result::kOk : Result::kNoConnection}, true); });
   }
   node.Turn(kStart + milliseconds(530), [&] {
-    for (MessageId id = 6; id <= 9; ++id) node.Take(id, 7);
+    for (MessageId id = 6; id <= 9; ++id) node.Enqueue(id, 7);
   });
   EXPECT_LE(node.CountSends(kStart + milliseconds(530), kStart + milliseconds(531)), 1);
 }
@@ -117,12 +117,12 @@
 TEST(Worn, OnANewConnectionAResetCounts) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a")});
-    node.Take(1, 7);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+    node.Enqueue(1, 7);
   });
-  node.Turn(kStart + milliseconds(20), [&] { node.Settle(1, Reply{Result::kReset}, true); });
+  node.Turn(kStart + milliseconds(20), [&] { node.ReportOutcome(1, Reply{Result::kReset}, true); });
   node.Turn(kStart + milliseconds(30), [&] {
-    for (MessageId id = 2; id <= 5; ++id) node.Take(id, 7);
+    for (MessageId id = 2; id <= 5; ++id) node.Enqueue(id, 7);
   });
   EXPECT_LE(node.CountSends(kStart + milliseconds(30), kStart + milliseconds(31)), 1);
 }
@@ -133,10 +133,10 @@
   s.classes[0].effect = Effect::kUnsafe;
   TestNode node(s);
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a")});
-    node.Take(1, 7);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a")});
+    node.Enqueue(1, 7);
   });
-  node.Turn(kStart + milliseconds(10), [&] { node.Settle(1, Result::kGarbled); });
+  node.Turn(kStart + milliseconds(10), [&] { node.ReportOutcome(1, Result::kGarbled); });
   EXPECT_TRUE(node.Failed(1));
   EXPECT_EQ(node.CountSends(1), 1);
 }
@@ -145,17 +145,19 @@
   Settings s = BaseSettings();
   TestNode node(s);
   MessageId id = 0;
-  node.Turn(kStart, [&] { node.List({TestNode::At(7, "hung"), TestNode::At(8, "well")}); });
+  node.Turn(kStart, [&] {
+    node.UpdateList({TestNode::MakeEndpoint(7, "hung"), TestNode::MakeEndpoint(8, "well")});
+  });
   node.Run(
       kStart, kStart + seconds(10),
-      [](const Sent& sent) -> std::optional<Reply> {
+      [](const SendRecord& sent) -> std::optional<Reply> {
         if (sent.endpoint == "hung") return std::nullopt;
         return Reply{};
       },
       [&](Micros now) {
         if ((now - kStart) % milliseconds(100) == Micros(0)) {
-          node.Take(++id, 7);
-          node.Take(++id, 8);
+          node.Enqueue(++id, 7);
+          node.Enqueue(++id, 8);
         }
       });
   EXPECT_GE(node.CountSends(kStart, kStart + seconds(10), "well"), 95);
@@ -165,9 +167,9 @@
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
     std::vector<Endpoint> list;
-    for (std::uint64_t d = 0; d < 30; ++d) list.push_back(TestNode::At(d, "e" + std::to_string(d)));
-    node.List(list);
-    for (std::uint64_t d = 0; d < 30; ++d) node.Take(d + 1, d);
+    for (std::uint64_t d = 0; d < 30; ++d) list.push_back(TestNode::MakeEndpoint(d, "e" + std::to_string(d)));
+    node.UpdateList(list);
+    for (std::uint64_t d = 0; d < 30; ++d) node.Enqueue(d + 1, d);
   });
   EXPECT_EQ(node.sends.size(), 8U);
 }
@@ -177,32 +179,32 @@
   s.call_slots = 1;
   TestNode node(s);
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a", 0, 1)});
-    for (MessageId id = 1; id <= 7; ++id) node.Take(id, 7);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a", 0, 1)});
+    for (MessageId id = 1; id <= 7; ++id) node.Enqueue(id, 7);
   });
   EXPECT_EQ(node.sends.size(), 5U);  // per_call
   EXPECT_EQ(node.brain().footprint().calls, 1U);
   node.Turn(kStart + milliseconds(50), [&] {
-    for (MessageId id = 1; id <= 4; ++id) node.Settle(id, Result::kOk);
+    for (MessageId id = 1; id <= 4; ++id) node.ReportOutcome(id, Result::kOk);
   });
   EXPECT_EQ(node.sends.size(), 5U);  // the slot is taken until all have their outcomes
-  node.Turn(kStart + milliseconds(60), [&] { node.Settle(5, Result::kOk); });
+  node.Turn(kStart + milliseconds(60), [&] { node.ReportOutcome(5, Result::kOk); });
   EXPECT_EQ(node.sends.size(), 7U);
 }
 
 TEST(Batch, CallsAfterTroubleCarrySeveralMessagesToo) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
-    node.List({TestNode::At(7, "a", 0, 1)});
-    node.Take(1, 7);
+    node.UpdateList({TestNode::MakeEndpoint(7, "a", 0, 1)});
+    node.Enqueue(1, 7);
   });
   node.Turn(kStart + milliseconds(50), [&] {
-    node.Settle(1, Result::kError);
-    for (MessageId id = 2; id <= 9; ++id) node.Take(id, 7);
+    node.ReportOutcome(1, Result::kError);
+    for (MessageId id = 2; id <= 9; ++id) node.Enqueue(id, 7);
   });
-  node.Run(kStart + milliseconds(60), kStart + seconds(5), [](const Sent&) { return Reply{}; });
+  node.Run(kStart + milliseconds(60), kStart + seconds(5), [](const SendRecord&) { return Reply{}; });
   std::map<Micros, int> calls;
-  for (const Sent& sent : node.sends) ++calls[sent.at];
+  for (const SendRecord& sent : node.sends) ++calls[sent.at];
   ASSERT_GE(calls.size(), 2U);
   // A trial carries one: a full call weighs like several, and the destination may be cold (rule 4, hbb52c1).
   EXPECT_EQ(std::next(calls.begin())->second, 1);
--- a/tests/brain_zone_test.cpp
+++ b/tests/brain_zone_test.cpp
@@ -14,8 +14,9 @@
   // second.
   ZoneTest() : node(Many()) {
     node.Turn(kStart, [&] {
-      node.List({TestNode::At(1, "here", 0, 1), TestNode::At(2, "there", 1, 1),
-                 TestNode::At(3, "both-here", 0, 0), TestNode::At(3, "both-there", 1, 0)});
+      node.UpdateList({TestNode::MakeEndpoint(1, "here", 0, 1), TestNode::MakeEndpoint(2, "there", 1, 1),
+                       TestNode::MakeEndpoint(3, "both-here", 0, 0),
+                       TestNode::MakeEndpoint(3, "both-there", 1, 0)});
     });
     Run(kStart, kStart + seconds(15));
   }
@@ -29,12 +30,12 @@
   void Run(Micros from, Micros to) {
     node.Run(
         from, to,
-        [](const Sent&) {
+        [](const SendRecord&) {
           return Reply{Result::kOk, milliseconds(50)};
         },
         [&](Micros) {
           for (const std::uint64_t destination : {1u, 2u, 3u})
-            if (++ids % 2 == 0) node.Take(ids, destination);
+            if (++ids % 2 == 0) node.Enqueue(ids, destination);
         });
   }
   TestNode node;
--- a/tests/crowd.h
+++ b/tests/crowd.h
@@ -99,7 +99,7 @@
     member.node = std::make_unique<TestNode>(settings_);
     member.due.clear();
     member.seen = 0;
-    member.node->Turn(now_, [&] { member.node->List({TestNode::At(7, "a")}); });
+    member.node->Turn(now_, [&] { member.node->UpdateList({TestNode::MakeEndpoint(7, "a")}); });
   }
 
   // A kill and the next start, with what its journal holds: calls that were out may have run.
@@ -128,20 +128,20 @@
       while (!member.due.empty() && member.due.begin()->first <= now_) {
         const auto [id, reply] = member.due.begin()->second;
         member.due.erase(member.due.begin());
-        node.Settle(id, reply, reply.result == Result::kOk);
+        node.ReportOutcome(id, reply, reply.result == Result::kOk);
         if (reply.result == Result::kOk) member.open.erase(id);
         const bool in_outage = now_ >= limit_.down && now_ < limit_.up;
         if (reply.result == Result::kTimeout || (reply.result != Result::kOk && in_outage))
           member.told = true;
       }
       if (std::generate_canonical<double, 53>(random_) < chance) {
-        node.Take(++id_, 7, seconds(12));
+        node.Enqueue(++id_, 7, seconds(12));
         member.open[id_] = {id_, 0, 0, "", now_ + seconds(12), 7};
         member.open[id_].rules = settings_.classes[0];
       }
     });
     for (; member.seen < node.sends.size(); ++member.seen) {
-      const Sent& sent = node.sends[member.seen];
+      const SendRecord& sent = node.sends[member.seen];
       ++member.open[sent.id].past.attempts;
       bins_[now_ / kBin].told += member.told ? 1 : 0;
       const Reply reply = Arrive();
--- a/tests/node_watch_test.cpp
+++ b/tests/node_watch_test.cpp
@@ -37,11 +37,11 @@
     watcher.OnTurnEnd();
   }
   void List(Watcher& w, const std::vector<Endpoint>& entries) {
-    TestNode::List(entries);
+    TestNode::UpdateList(entries);
     w.OnList(entries, true);
   }
   void Take(Watcher& w, MessageId id, std::uint64_t destination) {
-    TestNode::Take(id, destination);
+    TestNode::Enqueue(id, destination);
     Message message;
     message.id = id;
     message.give_up_at = now_ + seconds(20);
@@ -51,9 +51,9 @@
   }
   void Settle(Watcher& w, MessageId id, Result result) {
     Outcome outcome;
-    for (const Sent& sent : sends)
+    for (const SendRecord& sent : sends)
       if (sent.id == id) outcome.endpoint = sent.endpoint, outcome.latency = now_ - sent.at;  // as TestNode's
-    TestNode::Settle(id, Reply{result}, result == Result::kOk);
+    TestNode::ReportOutcome(id, Reply{result}, result == Result::kOk);
     outcome.id = id;
     outcome.result = result;
     outcome.last = result == Result::kOk;
@@ -75,7 +75,9 @@
 void Play(Pair& pair, std::uint32_t seed) {
   std::mt19937 random(seed);
   MessageId id = 0;
-  pair.Both(kStart, [&](Watcher& w) { pair.List(w, {TestNode::At(7, "a"), TestNode::At(8, "b")}); });
+  pair.Both(kStart, [&](Watcher& w) {
+    pair.List(w, {TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
+  });
   for (int step = 1; step < 400; ++step) {
     pair.Both(kStart + milliseconds(20) * step, [&](Watcher& w) {
       if (random() % 4 == 0) pair.Take(w, ++id, 7 + random() % 2);
@@ -105,7 +107,7 @@
   watched.max_attempts = 1;
   Pair pair(BaseSettings(), watched);
   pair.Both(kStart, [&](Watcher& w) {
-    pair.List(w, {TestNode::At(7, "a")});
+    pair.List(w, {TestNode::MakeEndpoint(7, "a")});
     pair.Take(w, 1, 7);
   });
   ASSERT_EQ(pair.CountSends(MessageId{1}), 1);
--- a/tests/test_node.h
+++ b/tests/test_node.h
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct Sent {
+struct SendRecord {
   MessageId id = 0;
   EndpointId endpoint;
   Micros timeout{0};
@@ -71,8 +71,8 @@
     brain_->OnSettings(settings);
   }
 
-  static Endpoint At(std::uint64_t destination, EndpointId id, int zone = 0, int kind = 0,
-                     EndpointState state = EndpointState::kReady) {
+  static Endpoint MakeEndpoint(std::uint64_t destination, EndpointId id, int zone = 0, int kind = 0,
+                               EndpointState state = EndpointState::kReady) {
     return {std::move(id), zone, kind, destination, state};
   }
 
@@ -85,22 +85,23 @@
     brain_->OnTurnEnd();
   }
 
-  void List(const std::vector<Endpoint>& entries, bool whole = true) { brain_->OnList(entries, whole); }
+  void UpdateList(const std::vector<Endpoint>& entries, bool whole = true) { brain_->OnList(entries, whole); }
 
   // A message born under the rules that its class has now.
-  void Give(Message message) {
+  void EnqueueMessage(Message message) {
     const auto number = static_cast<std::size_t>(message.message_class);
     if (number < settings_.classes.size()) message.rules = settings_.classes[number];
     brain_->OnMessage(message);
   }
-  void Take(MessageId id, std::uint64_t destination, Micros life = seconds(20), const std::string& key = "",
-            int message_class = 0, int tenant = 0) {
-    Give({id, message_class, tenant, key, now_ + life, destination});
+  void Enqueue(MessageId id, std::uint64_t destination, Micros life = seconds(20),
+               const std::string& key = "", int message_class = 0, int tenant = 0) {
+    EnqueueMessage({id, message_class, tenant, key, now_ + life, destination});
   }
 
   // The outcome of the latest attempt at a message.
-  void Settle(MessageId id, Reply reply, bool last) {
-    const auto sent = std::find_if(sends.rbegin(), sends.rend(), [&](const Sent& s) { return s.id == id; });
+  void ReportOutcome(MessageId id, Reply reply, bool last) {
+    const auto sent =
+        std::find_if(sends.rbegin(), sends.rend(), [&](const SendRecord& s) { return s.id == id; });
     if (sent == sends.rend()) return;
     sent->settled = true;
     Outcome outcome;
@@ -115,24 +116,24 @@
     outcome.load.left = reply.left;
     brain_->OnOutcome(outcome);
   }
-  void Settle(MessageId id, Result result) { Settle(id, Reply{result}, result == Result::kOk); }
+  void ReportOutcome(MessageId id, Result result) { ReportOutcome(id, Reply{result}, result == Result::kOk); }
 
   // Turns every 10 ms over [from, to). `answer` says how a send ends; nothing means that it runs into its
   // time-out. `events` may feed more at each turn.
   void Run(
-      Micros from, Micros to, const std::function<std::optional<Reply>(const Sent&)>& answer,
+      Micros from, Micros to, const std::function<std::optional<Reply>(const SendRecord&)>& answer,
       const std::function<void(Micros)>& events = [](Micros) {}) {
     for (Micros now = from; now < to; now += milliseconds(10)) {
       Turn(now, [&] {
         while (!due_.empty() && due_.begin()->first <= now) {
           const auto [id, reply] = due_.begin()->second;
           due_.erase(due_.begin());
-          Settle(id, reply, reply.result == Result::kOk);
+          ReportOutcome(id, reply, reply.result == Result::kOk);
         }
         events(now);
       });
       for (; answered_ < sends.size(); ++answered_) {
-        const Sent& sent = sends[answered_];
+        const SendRecord& sent = sends[answered_];
         if (sent.settled) continue;  // by hand
         Reply reply = answer(sent).value_or(Reply{Result::kTimeout, sent.timeout});
         if (reply.after > sent.timeout) reply = {Result::kTimeout, sent.timeout};
@@ -142,13 +143,13 @@
   }
 
   int CountSends(Micros from, Micros to, const EndpointId& endpoint = "") const {
-    return static_cast<int>(std::count_if(sends.begin(), sends.end(), [&](const Sent& s) {
+    return static_cast<int>(std::count_if(sends.begin(), sends.end(), [&](const SendRecord& s) {
       return s.at >= from && s.at < to && (endpoint.empty() || s.endpoint == endpoint);
     }));
   }
   int CountSends(MessageId id) const {
     return static_cast<int>(
-        std::count_if(sends.begin(), sends.end(), [&](const Sent& s) { return s.id == id; }));
+        std::count_if(sends.begin(), sends.end(), [&](const SendRecord& s) { return s.id == id; }));
   }
   bool Refused(MessageId id) const { return refused.contains(id); }
   bool Failed(MessageId id) const { return failed.contains(id); }
@@ -177,7 +178,7 @@
   Brain& brain() { return *brain_; }
 
   bool answers_at_once = true;  // else the test says when they are told
-  std::vector<Sent> sends;
+  std::vector<SendRecord> sends;
   std::vector<Micros> timers;
   std::vector<Micros> watches;
   std::vector<std::pair<Micros, EndpointId>> closes;
