--- a/tests/brain_events_test.cpp
+++ b/tests/brain_events_test.cpp
@@ -1,5 +1,6 @@
-// The module is told what has changed and looks at nothing else. So after each turn an omniscient look at all
-// messages must find nothing that should have been answered, over random histories.
+// The engine reacts only to the changes that it is fed and never scans all messages. This test feeds random
+// histories and scans all messages after each turn: none may be left that should have been answered, in
+// flight twice or sent after its end.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -10,28 +11,33 @@
 namespace indigosaddle::testing {
 namespace {
 
-struct Known {
+// What the test knows of one message.
+struct KnownMessage {
   std::uint64_t destination = 0;
-  Micros give_up{0};
+  Micros deadline{0};
   int attempts = 0;
-  bool out = false, over = false;
+  bool in_flight = false;
+  bool ended = false;  // delivered, withdrawn or answered
 };
 
-class Omniscient {
+// A random history, and the scan of all messages after each turn.
+class CheckedHistory {
  public:
-  explicit Omniscient(std::uint32_t seed) : random_(seed), node_(Made()) {
+  explicit CheckedHistory(std::uint32_t seed) : random_(seed), node_(MakeSettings()) {
     node_.Turn(now_, [&] { ListAll(true); });
   }
 
+  // One turn with up to five random events, then the check.
   void Step() {
     now_ += milliseconds(1 + random_() % 40);
     node_.Turn(now_, [&] {
-      for (int events = static_cast<int>(random_() % 6); events > 0; --events) Event();
+      for (int events = static_cast<int>(random_() % 6); events > 0; --events) FeedRandomEvent();
     });
-    for (; seen_ < node_.sends.size(); ++seen_) {
-      Known& known = messages_.at(node_.sends[seen_].id);
-      ASSERT_FALSE(known.out || known.over);
-      known.out = true, ++known.attempts;
+    for (; sends_seen_ < node_.sends.size(); ++sends_seen_) {
+      KnownMessage& known = messages_.at(node_.sends[sends_seen_].id);
+      ASSERT_FALSE(known.in_flight || known.ended);
+      known.in_flight = true;
+      ++known.attempts;
     }
     Check();
   }
@@ -39,7 +45,7 @@
   std::size_t answered() const { return node_.answers.size(); }
 
  private:
-  static Settings Made() {
+  static Settings MakeSettings() {
     Settings settings = BaseSettings();
     settings.max_open = 60;
     settings.max_attempts = 4;
@@ -58,13 +64,13 @@
     for (const Endpoint& entry : entries) listed_.insert(entry.destination);
   }
 
-  void Event() {
+  void FeedRandomEvent() {
     switch (random_() % 8) {
       case 0: return ListAll(random_() % 2 == 0);
       case 1:
       case 2:
       case 3: {
-        const MessageId id = ++last_;
+        const MessageId id = ++last_id_;
         const Micros life = milliseconds(20 + random_() % 3000);
         const std::uint64_t destination = 1 + random_() % 7;  // two of them never listed
         messages_[id] = {destination, now_ + life, 0, false, false};
@@ -74,70 +80,72 @@
         if (messages_.empty()) return;
         auto it = messages_.begin();
         std::advance(it, static_cast<std::ptrdiff_t>(random_() % messages_.size()));
-        if (it->second.over || random_() % 4 != 0) return;
+        if (it->second.ended || random_() % 4 != 0) return;
         node_.brain().OnWithdrawn(it->first);
-        it->second.over = true;
+        it->second.ended = true;
         return;
       }
-      default: return Settle();
+      default: return EndRandomAttempt();
     }
   }
 
-  void Settle() {
-    std::vector<MessageId> out;
+  void EndRandomAttempt() {
+    std::vector<MessageId> in_flight;
     for (const auto& [id, known] : messages_)
-      if (known.out) out.push_back(id);
-    if (out.empty()) return;
-    const MessageId id = out[random_() % out.size()];
-    Known& settled = messages_.at(id);
+      if (known.in_flight) in_flight.push_back(id);
+    if (in_flight.empty()) return;
+    const MessageId id = in_flight[random_() % in_flight.size()];
+    KnownMessage& message = messages_.at(id);
     const Result results[] = {Result::kOk, Result::kFull, Result::kError, Result::kNoConnection,
                               Result::kNotSent};
     const Result result = results[random_() % 5];
     const Micros wait =
         result == Result::kFull && random_() % 2 == 0 ? milliseconds(random_() % 4000) : milliseconds(0);
     node_.ReportOutcome(id, Reply{result, milliseconds(0), wait}, result == Result::kOk);
-    settled.out = false;
-    if (result == Result::kOk) settled.over = true;
-    Micros& paused = paused_[settled.destination];
-    if (result == Result::kFull) paused = std::max(paused, now_ + wait);
+    message.in_flight = false;
+    if (result == Result::kOk) message.ended = true;
+    Micros& paused_until = paused_until_[message.destination];
+    if (result == Result::kFull) paused_until = std::max(paused_until, now_ + wait);
   }
 
   void Check() {
-    const Settings settings = Made();
-    int open = 0;
+    const Settings settings = MakeSettings();
+    int held = 0;
     for (auto& [id, known] : messages_) {
       const auto answers = node_.answers.find(id);
       ASSERT_LE(answers == node_.answers.end() ? 0 : answers->second, 1) << id;
-      if (answers != node_.answers.end()) known.over = true;
-      if (known.over) continue;
-      ++open;
-      if (known.out) {
-        ASSERT_LT(now_, known.give_up + settings.tick) << id << " is out past its time";
+      if (answers != node_.answers.end()) known.ended = true;
+      if (known.ended) continue;
+      ++held;
+      if (known.in_flight) {
+        ASSERT_LT(now_, known.deadline + settings.tick) << id << " is in flight past its deadline";
         continue;
       }
-      ASSERT_GT(known.give_up - now_, 2 * settings.tick) << id << " waits past its time";
-      ASSERT_LT(known.attempts, settings.max_attempts) << id << " has had its attempts";
-      ASSERT_TRUE(listed_.contains(known.destination)) << id << " goes nowhere";
-      // What is told to wait past its time is given up at once.
-      ASSERT_LT(paused_[known.destination], known.give_up) << id << " can't arrive";
+      ASSERT_GT(known.deadline - now_, 2 * settings.tick) << id << " waits past its deadline";
+      ASSERT_LT(known.attempts, settings.max_attempts) << id << " waits with no attempts left";
+      ASSERT_TRUE(listed_.contains(known.destination))
+          << id << " waits for a destination that was never listed";
+      // A Retry-After past the deadline ends the message at once.
+      ASSERT_LT(paused_until_[known.destination], known.deadline)
+          << id << " waits though its Retry-After outlasts it";
     }
-    ASSERT_LE(open, settings.max_open - 3);
+    ASSERT_LE(held, settings.max_open - 3);
   }
 
   std::mt19937 random_;
   Micros now_{seconds(1)};
   TestNode node_;
-  std::map<MessageId, Known> messages_;
-  std::map<std::uint64_t, Micros> paused_;
+  std::map<MessageId, KnownMessage> messages_;
+  std::map<std::uint64_t, Micros> paused_until_;  // by destination, from Retry-After
   std::set<std::uint64_t> listed_;
-  MessageId last_ = 0;
-  std::size_t seen_ = 0;
+  MessageId last_id_ = 0;
+  std::size_t sends_seen_ = 0;
 };
 
-TEST(Events, AnOmniscientLookFindsNothingThatShouldHaveBeenAnswered) {
+TEST(Events, FullScanFindsNoMessageThatShouldHaveBeenAnswered) {
   std::size_t answered = 0;
   for (std::uint32_t seed = 1; seed <= 300; ++seed) {
-    Omniscient history(seed);
+    CheckedHistory history(seed);
     for (int step = 0; step < 200; ++step) {
       history.Step();
       if (::testing::Test::HasFatalFailure()) FAIL() << "seed " << seed << ", step " << step;
--- a/tests/brain_rules_order_test.cpp
+++ b/tests/brain_rules_order_test.cpp
@@ -1,4 +1,4 @@
-// Rules 5 and 6 at the module alone: order, and waits that were told.
+// Rule 5 (messages with one order key in turn) and rule 6 (Retry-After is heeded).
 #include <gtest/gtest.h>
 
 #include "test_node.h"
@@ -8,17 +8,14 @@
 
 constexpr Micros kStart = seconds(100);
 
-// ---- Rule 1: one final answer, in time, and nothing sent after
-// ----------------------------------------------
-
-Settings Ordered() {
+Settings OrderedSettings() {
   Settings s = BaseSettings();
   s.classes[0].sequential = true;
   return s;
 }
 
-TEST(Order, OneAtATimeAsTakenOtherKeysFree) {
-  TestNode node(Ordered());
+TEST(Order, OneMessageOfAKeyAtATimeInOrderOthersUnaffected) {
+  TestNode node(OrderedSettings());
   node.Turn(kStart, [&] {
     node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
     node.Enqueue(1, 7, seconds(20), "k");
@@ -34,32 +31,33 @@
   EXPECT_EQ(node.CountSends(MessageId{2}), 1);
 }
 
-class RestTest : public ::testing::TestWithParam<Result> {};
+// Parameter: a result after which the attempt may still run at the endpoint.
+class OrderGap : public ::testing::TestWithParam<Result> {};
 
-TEST_P(RestTest, KeyRestsAfterAnAttemptThatMayStillRun) {
-  Settings s = Ordered();
-  s.classes[0].effect = Effect::kUnsafe;  // ends at once after the outcome
+TEST_P(OrderGap, KeyWaitsAfterAnAttemptThatMayStillRun) {
+  Settings s = OrderedSettings();
+  s.classes[0].effect = Effect::kUnsafe;  // not repeated: failed right after the outcome
   TestNode node(s);
-  const Micros over = kStart + milliseconds(200);
+  const Micros outcome_at = kStart + milliseconds(200);
   node.Turn(kStart, [&] {
     node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
     node.Enqueue(1, 7, seconds(20), "k");
     node.Enqueue(2, 8, seconds(20), "k");
   });
-  node.Turn(over, [&] { node.ReportOutcome(1, GetParam()); });
-  node.Turn(over + milliseconds(10));
+  node.Turn(outcome_at, [&] { node.ReportOutcome(1, GetParam()); });
+  node.Turn(outcome_at + milliseconds(10));
   ASSERT_TRUE(node.Failed(1));
-  node.Turn(over + milliseconds(99));
+  node.Turn(outcome_at + milliseconds(99));
   EXPECT_EQ(node.CountSends(MessageId{2}), 0);
-  node.Turn(over + milliseconds(130));
+  node.Turn(outcome_at + milliseconds(130));
   EXPECT_EQ(node.CountSends(MessageId{2}), 1);
 }
 
-INSTANTIATE_TEST_SUITE_P(MayStillRun, RestTest,
+INSTANTIATE_TEST_SUITE_P(MayStillRun, OrderGap,
                          ::testing::Values(Result::kTimeout, Result::kReset, Result::kCancelled));
 
-TEST(Order, AttemptOfAnEndedMessageHoldsTheKeyUntilItsOutcome) {
-  TestNode node(Ordered());
+TEST(Order, AttemptInFlightOfAnEndedMessageHoldsTheKey) {
+  TestNode node(OrderedSettings());
   node.Turn(kStart, [&] {
     node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
     node.Enqueue(1, 7, seconds(1), "k");
@@ -76,70 +74,73 @@
   EXPECT_EQ(node.CountSends(MessageId{2}), 1);
 }
 
-TEST(Order, RefusalOutOfTurnLetsTheRestProceed) {
-  TestNode node(Ordered());
+TEST(Order, MessageRejectedBeforeItsTurnDoesNotBlockTheKey) {
+  TestNode node(OrderedSettings());
   node.Turn(kStart, [&] {
     node.UpdateList(
         {TestNode::MakeEndpoint(7, "a", 0, 0, EndpointState::kDraining), TestNode::MakeEndpoint(8, "b")});
-    node.Enqueue(1, 7, seconds(1), "k");  // no endpoint that is ready: waits
+    node.Enqueue(1, 7, seconds(1), "k");  // its only endpoint is draining: it waits
     node.Enqueue(2, 8, milliseconds(500), "k");
     node.Enqueue(3, 8, seconds(20), "k");
   });
   node.Turn(kStart + milliseconds(495));
-  EXPECT_TRUE(node.Refused(2));  // out of turn
+  EXPECT_TRUE(node.Refused(2));  // before its turn
   EXPECT_EQ(node.CountSends(MessageId{3}), 0);
   node.Turn(kStart + milliseconds(995));
   EXPECT_TRUE(node.Refused(1));
   EXPECT_EQ(node.CountSends(MessageId{3}), 1);
 }
 
-// ---- Rule 6: told waits
-// -------------------------------------------------------------------------------------
+// ---- Rule 6: Retry-After is heeded ----
 
-TEST(Wait, BindsTheWholeDestinationWhereEndpointsShare) {
+TEST(RetryAfter, AppliesToTheWholeDestinationWhereEndpointsShareALimiter) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
     node.UpdateList(
         {TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(7, "b"), TestNode::MakeEndpoint(8, "c")});
     node.Enqueue(1, 7);
   });
-  const Micros told = kStart + milliseconds(50);
-  node.Turn(told, [&] { node.ReportOutcome(1, Reply{Result::kFull, Micros(0), milliseconds(1500)}, false); });
+  const Micros refused_at = kStart + milliseconds(50);
+  node.Turn(refused_at, [&] {
+    node.ReportOutcome(1, Reply{Result::kFull, Micros(0), milliseconds(1500)}, false);
+  });
   node.Run(
-      told + milliseconds(10), told + milliseconds(1500), [](const SendRecord&) { return Reply{}; },
+      refused_at + milliseconds(10), refused_at + milliseconds(1500),
+      [](const SendRecord&) { return Reply{}; },
       [&](Micros now) {
-        if (now == told + milliseconds(110)) node.Enqueue(2, 7);
-        if (now == told + milliseconds(210)) node.Enqueue(3, 8);
+        if (now == refused_at + milliseconds(110)) node.Enqueue(2, 7);
+        if (now == refused_at + milliseconds(210)) node.Enqueue(3, 8);
       });
-  EXPECT_EQ(node.CountSends(told, told + milliseconds(1500), "a"), 0);
-  EXPECT_EQ(node.CountSends(told, told + milliseconds(1500), "b"), 0);
+  EXPECT_EQ(node.CountSends(refused_at, refused_at + milliseconds(1500), "a"), 0);
+  EXPECT_EQ(node.CountSends(refused_at, refused_at + milliseconds(1500), "b"), 0);
   EXPECT_EQ(node.CountSends(MessageId{3}), 1);
-  node.Run(told + milliseconds(1500), told + seconds(8), [](const SendRecord&) { return Reply{}; });
+  node.Run(refused_at + milliseconds(1500), refused_at + seconds(8),
+           [](const SendRecord&) { return Reply{}; });
   EXPECT_EQ(node.CountSends(MessageId{1}), 2);
 }
 
-TEST(Wait, BindsOneRouteWhereRoutesAreApart) {
+TEST(RetryAfter, AppliesToOneEndpointWhereEachHasItsOwnLimiter) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
     node.UpdateList({TestNode::MakeEndpoint(7, "a", 0, 1), TestNode::MakeEndpoint(7, "b", 0, 1)});
     node.Enqueue(1, 7);
   });
   const EndpointId first = node.sends.at(0).endpoint;
-  const Micros told = kStart + milliseconds(50);
-  node.Turn(told, [&] { node.ReportOutcome(1, Reply{Result::kFull, Micros(0), seconds(3)}, false); });
-  ASSERT_EQ(node.sends.size(), 2U);  // at once by the other route
+  const Micros refused_at = kStart + milliseconds(50);
+  node.Turn(refused_at, [&] { node.ReportOutcome(1, Reply{Result::kFull, Micros(0), seconds(3)}, false); });
+  ASSERT_EQ(node.sends.size(), 2U);  // sent to the other endpoint in the same turn
   EXPECT_NE(node.sends[1].endpoint, first);
   node.Run(
-      told + milliseconds(10), told + seconds(3), [](const SendRecord&) { return Reply{}; },
+      refused_at + milliseconds(10), refused_at + seconds(3), [](const SendRecord&) { return Reply{}; },
       [&](Micros now) {
-        if ((now - told) % milliseconds(300) == Micros(0)) {
+        if ((now - refused_at) % milliseconds(300) == Micros(0)) {
           node.Enqueue(static_cast<MessageId>(now.count()), 7);
         }
       });
-  EXPECT_EQ(node.CountSends(told, told + seconds(3), first), 0);
+  EXPECT_EQ(node.CountSends(refused_at, refused_at + seconds(3), first), 0);
 }
 
-TEST(Wait, OutlastingTheMessageIsAnsweredAtOnce) {
+TEST(RetryAfter, MessageThatItOutlastsIsRejectedAtOnce) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
     node.UpdateList({TestNode::MakeEndpoint(7, "a")});
@@ -151,7 +152,5 @@
   EXPECT_TRUE(node.Refused(1));
 }
 
-// ---- Resumed after a restart, and a coming stop ---------------------------------------------------------
-
 }  // namespace
 }  // namespace indigosaddle::testing
--- a/tests/brain_rules_test.cpp
+++ b/tests/brain_rules_test.cpp
@@ -1,4 +1,5 @@
-// The six rules, by the module alone: each test fails when its guard is taken out.
+// Rule 1 (one final answer per message, in time) and rule 2 (no double effect, one live attempt). Each test
+// fails when the code that it guards is removed.
 #include <gtest/gtest.h>
 
 #include "test_node.h"
@@ -8,10 +9,9 @@
 
 constexpr Micros kStart = seconds(100);
 
-// ---- Rule 1: one final answer, in time, and nothing sent after
-// ----------------------------------------------
+// ---- Rule 1: one final answer, in time, and nothing sent after it ----
 
-TEST(FinalAnswer, HeldMessageIsAnsweredBeforeItsTimeIsUp) {
+TEST(FinalAnswer, HeldMessageIsAnsweredBeforeItsDeadline) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] { node.Enqueue(1, 7, seconds(3)); });  // no endpoint is known
   node.Run(kStart + milliseconds(10), kStart + seconds(3), [](const SendRecord&) { return Reply{}; });
@@ -29,10 +29,10 @@
   ASSERT_EQ(node.CountSends(MessageId{1}), 1);
   EXPECT_LE(node.sends[0].timeout, seconds(1));  // cut to the time left
   node.Turn(kStart + seconds(1));
-  EXPECT_FALSE(node.Failed(1));  // the time-out that was cut to this time may still arrive
+  EXPECT_FALSE(node.Failed(1));  // the timeout, cut to this time, may still arrive
   node.Turn(kStart + seconds(1) + milliseconds(5));
   EXPECT_TRUE(node.Failed(1));
-  node.Turn(kStart + seconds(1) + milliseconds(7));  // the attempt is still out: no second answer
+  node.Turn(kStart + seconds(1) + milliseconds(7));  // the attempt is still in flight: no second answer
   node.Turn(kStart + seconds(1) + milliseconds(10), [&] { node.ReportOutcome(1, Result::kTimeout); });
   node.Run(kStart + seconds(2), kStart + seconds(3), [](const SendRecord&) { return Reply{}; });
   EXPECT_EQ(node.CountSends(MessageId{1}), 1);
@@ -64,7 +64,7 @@
   EXPECT_EQ(node.answers[1], 1);
 }
 
-TEST(FinalAnswer, DeliveredOrWithdrawnMessagesGetNoneAndAreForgotten) {
+TEST(FinalAnswer, DeliveredOrWithdrawnMessagesGetNoAnswerAndAreRemoved) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
     node.UpdateList(
@@ -82,7 +82,7 @@
   EXPECT_EQ(node.brain().footprint().messages, 0U);
 }
 
-TEST(FinalAnswer, WakesForTheDeadline) {
+TEST(FinalAnswer, TimerIsSetForTheDeadline) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
     node.UpdateList({TestNode::MakeEndpoint(7, "a")});
@@ -104,20 +104,19 @@
   EXPECT_TRUE(node.Refused(1));
 }
 
-// ---- Rule 2: no double effect
-// -------------------------------------------------------------------------------
+// ---- Rule 2: no double effect, one live attempt ----
 
 struct EffectCase {
   Effect effect;
   Group group;
-  Result result;
-  bool sent_again;
-  bool refused;  // if it had to be ended now
+  Result result;    // of the first attempt
+  bool sent_again;  // whether a repeat is allowed after it
+  bool refused;     // whether the message is rejected, not failed, once it can no longer be delivered
 };
 
 class EffectTest : public ::testing::TestWithParam<EffectCase> {};
 
-TEST_P(EffectTest, RepeatsAndRefusesOnlyWhatTheClassAllows) {
+TEST_P(EffectTest, RepeatsAndRejectsOnlyWhereTheClassAllowsIt) {
   const EffectCase& c = GetParam();
   Settings s = BaseSettings();
   s.classes[0].effect = c.effect;
@@ -144,15 +143,16 @@
 
 std::vector<EffectCase> EffectCases() {
   std::vector<EffectCase> cases;
-  const std::vector<Result> ran = {Result::kError, Result::kTimeout, Result::kReset, Result::kCancelled};
-  const std::vector<Result> never = {Result::kFull, Result::kNoConnection, Result::kNotSent};
-  for (Result r : ran) {
+  const std::vector<Result> may_have_run = {Result::kError, Result::kTimeout, Result::kReset,
+                                            Result::kCancelled};
+  const std::vector<Result> never_ran = {Result::kFull, Result::kNoConnection, Result::kNotSent};
+  for (Result r : may_have_run) {
     cases.push_back({Effect::kSafe, Group::kCell, r, true, true});
     cases.push_back({Effect::kKeyed, Group::kAll, r, true, true});
     cases.push_back({Effect::kKeyed, Group::kZone, r, true, false});
     cases.push_back({Effect::kUnsafe, Group::kAll, r, false, false});
   }
-  for (Result r : never) {
+  for (Result r : never_ran) {
     cases.push_back({Effect::kSafe, Group::kCell, r, true, true});
     cases.push_back({Effect::kKeyed, Group::kZone, r, true, true});
     cases.push_back({Effect::kUnsafe, Group::kAll, r, true, true});
@@ -182,7 +182,7 @@
   EXPECT_EQ(node.CountSends(kStart, kStart + seconds(9), "c"), 1);
 }
 
-TEST(Effect, KeyedRepeatEndsWithTheKeysLife) {
+TEST(Effect, KeyedRepeatsEndWithTheKeysLifetime) {
   Settings s = BaseSettings();
   s.classes[0].key_ttl = seconds(4);
   TestNode node(s);
@@ -196,10 +196,10 @@
   node.Turn(kStart + seconds(19), [&] { node.ReportOutcome(1, Result::kError); });
   EXPECT_GT(node.CountSends(MessageId{1}), 1);
   EXPECT_EQ(node.CountSends(kStart + seconds(4), kStart + seconds(19)), 0);
-  EXPECT_TRUE(node.Refused(1));  // in its group every endpoint drops the repeat: harmless
+  EXPECT_TRUE(node.Refused(1));  // every endpoint of its group drops a repeat, so a later one is harmless
 }
 
-TEST(Effect, NeverTwoAttemptsOut) {
+TEST(Effect, NeverTwoAttemptsInFlight) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] {
     node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(7, "b")});
@@ -209,8 +209,5 @@
   EXPECT_EQ(node.CountSends(MessageId{1}), 1);
 }
 
-// ---- Rule 3: drains
-// -----------------------------------------------------------------------------------------
-
 }  // namespace
 }  // namespace indigosaddle::testing
--- a/tests/brain_settings_test.cpp
+++ b/tests/brain_settings_test.cpp
@@ -1,4 +1,5 @@
-// New settings while the module holds messages: what changes at once, and what it has learned and keeps.
+// New settings while the engine holds messages: what takes effect at once, and what is kept of what it has
+// learned.
 #include <gtest/gtest.h>
 
 #include "test_node.h"
@@ -6,7 +7,8 @@
 namespace indigosaddle::testing {
 namespace {
 
-Settings With(const std::function<void(Settings&)>& change) {
+// BaseSettings with one change.
+Settings ChangedSettings(const std::function<void(Settings&)>& change) {
   Settings settings = BaseSettings();
   change(settings);
   return settings;
@@ -17,8 +19,9 @@
   SettingsChange() : node(BaseSettings()) {
     node.Turn(Micros(0), [&] { node.UpdateList({TestNode::MakeEndpoint(1, "a")}); });
   }
+  // Applies BaseSettings with `change` in a turn at `at`.
   void Change(Micros at, const std::function<void(Settings&)>& change) {
-    node.Turn(at, [&] { node.Configure(With(change)); });
+    node.Turn(at, [&] { node.Configure(ChangedSettings(change)); });
   }
   TestNode node;
 };
@@ -33,29 +36,29 @@
   EXPECT_EQ(node.sends.size(), before);
   for (std::size_t i = 0; i + 1 < before; ++i) {
     node.Turn(seconds(3) + milliseconds(i), [&] { node.ReportOutcome(node.sends[i].id, Result::kOk); });
-    EXPECT_EQ(node.sends.size(), before);  // as many as one are still out
+    EXPECT_EQ(node.sends.size(), before);  // at least one call is still in flight
   }
   node.Turn(seconds(4), [&] { node.ReportOutcome(node.sends[before - 1].id, Result::kOk); });
   EXPECT_EQ(node.sends.size(), before + 1);
   EXPECT_TRUE(node.answers.empty());
 }
 
-TEST_F(SettingsChange, ASmallerRoomHandsBackAtOnceWhatPromisesLeast) {
+TEST_F(SettingsChange, SmallerRoomRejectsMessagesOfLeastWorthAtOnce) {
   node.Turn(seconds(1), [&] {
     node.UpdateList({TestNode::MakeEndpoint(1, "a"),
-                     TestNode::MakeEndpoint(2, "b", 0, 0, EndpointState::kDraining)});  // which takes nothing
+                     TestNode::MakeEndpoint(2, "b", 0, 0, EndpointState::kDraining)});  // b takes nothing new
     for (MessageId id = 1; id <= 100; ++id) node.Enqueue(id, 2);
   });
   ASSERT_EQ(node.answers.size(), 0u);
   Change(seconds(2), [](Settings& s) { s.max_open = 40; });
-  EXPECT_EQ(node.refused.size(), 62u);  // down to 95% of the room
+  EXPECT_EQ(node.refused.size(), 62u);  // down to 95% of max_open
   EXPECT_TRUE(node.failed.empty());
   for (const auto& [id, count] : node.answers) EXPECT_EQ(count, 1) << id;
   Change(seconds(3), [](Settings& s) { s.max_open = 200; });
   EXPECT_EQ(node.refused.size(), 62u);
 }
 
-TEST_F(SettingsChange, FewerAttemptsEndWhatHasHadThem) {
+TEST_F(SettingsChange, LoweredMaxAttemptsEndsMessagesThatHaveHadThem) {
   node.Turn(seconds(1), [&] { node.Enqueue(1, 1); });
   ASSERT_EQ(node.sends.size(), 1u);
   node.Turn(seconds(2), [&] { node.ReportOutcome(1, Result::kNoConnection); });
@@ -66,19 +69,25 @@
   EXPECT_EQ(node.answers[1], 1);
 }
 
-TEST_F(SettingsChange, AToldWaitAndABoundRateOutliveIt) {
+TEST_F(SettingsChange, RetryAfterAndLearnedRateAreKept) {
   node.Turn(seconds(1), [&] { node.Enqueue(1, 1); });
   node.Turn(seconds(2), [&] {
     node.ReportOutcome(1, Reply{Result::kFull, milliseconds(0), seconds(5)}, false);
   });
-  Change(milliseconds(2500), [](Settings& s) { s.senders = 9, s.call_slots = 100, s.max_attempts = 90; });
+  Change(milliseconds(2500), [](Settings& s) {
+    s.senders = 9;
+    s.call_slots = 100;
+    s.max_attempts = 90;
+  });
   node.Run(milliseconds(2510), seconds(7), [](const SendRecord&) { return Reply{}; });
-  EXPECT_EQ(node.CountSends(1), 1);  // rule 6
+  EXPECT_EQ(node.CountSends(1), 1);  // rule 6: Retry-After is heeded
   node.Run(seconds(7), seconds(20), [](const SendRecord&) { return Reply{}; });
-  EXPECT_EQ(node.CountSends(1), 2);  // a wait so long may have been a shut: then a drawn time more (rule 4)
+  EXPECT_EQ(
+      node.CountSends(1),
+      2);  // so long a Retry-After may have been an outage: a random delay more (rule 4, unsure means cold)
 }
 
-TEST_F(SettingsChange, ANewClassIsKnownAndAnOldOneKeepsItsPlaceForWhatIsHeld) {
+TEST_F(SettingsChange, NewClassIsUsedAndHeldMessagesKeepTheirClass) {
   node.Turn(seconds(1), [&] {
     node.UpdateList(
         {TestNode::MakeEndpoint(1, "a"), TestNode::MakeEndpoint(2, "b", 0, 0, EndpointState::kDraining)});
@@ -94,39 +103,43 @@
   });
   EXPECT_EQ(node.CountSends(1), 1);
   EXPECT_EQ(node.CountSends(2), 1);
-  // A safe one may be repeated though it may have run: the new class's own settings hold.
+  // A safe message may be repeated though it may have run: the settings of the new class apply.
   node.Turn(seconds(4), [&] { node.ReportOutcome(2, Result::kReset); });
   node.Run(seconds(4), seconds(8), [](const SendRecord&) { return Reply{}; });
   EXPECT_GE(node.CountSends(2), 2);
 }
 
-class RulesKept : public SettingsChange, public ::testing::WithParamInterface<std::pair<Effect, Effect>> {};
+// Parameters: the class's effect when the message is enqueued, and after the change.
+class RepeatRulesKept : public SettingsChange,
+                        public ::testing::WithParamInterface<std::pair<Effect, Effect>> {};
 
-// From its birth on a message goes by its own rules: a reset is followed by another call where they allow
-// one.
-TEST_P(RulesKept, AMessageKeepsItsRulesWhateverItsClassSaysByThen) {
-  const auto [born, then] = GetParam();
-  Change(milliseconds(500), [&, effect = born](Settings& s) { s.classes[0].effect = effect; });
+// A message keeps the repeat rules that it was enqueued with: after a reset it is sent again where those
+// allow it.
+TEST_P(RepeatRulesKept, MessageKeepsItsRulesWhenItsClassChanges) {
+  const auto [enqueued, changed] = GetParam();
+  Change(milliseconds(500), [&, effect = enqueued](Settings& s) { s.classes[0].effect = effect; });
   node.Turn(seconds(1), [&] { node.Enqueue(1, 1); });
   ASSERT_EQ(node.CountSends(1), 1);
-  Change(seconds(2), [&, effect = then](Settings& s) { s.classes[0].effect = effect; });
+  Change(seconds(2), [&, effect = changed](Settings& s) { s.classes[0].effect = effect; });
   node.Turn(seconds(3), [&] { node.ReportOutcome(1, Result::kReset); });
   node.Run(seconds(3), seconds(8), [](const SendRecord&) { return Reply{}; });
-  EXPECT_EQ(node.CountSends(1) > 1, born != Effect::kUnsafe);
-  EXPECT_EQ(node.Failed(1), born == Effect::kUnsafe);
+  EXPECT_EQ(node.CountSends(1) > 1, enqueued != Effect::kUnsafe);
+  EXPECT_EQ(node.Failed(1), enqueued == Effect::kUnsafe);
 }
-INSTANTIATE_TEST_SUITE_P(Effects, RulesKept,
+INSTANTIATE_TEST_SUITE_P(Effects, RepeatRulesKept,
                          ::testing::Values(std::pair(Effect::kUnsafe, Effect::kSafe),
                                            std::pair(Effect::kSafe, Effect::kUnsafe),
                                            std::pair(Effect::kKeyed, Effect::kUnsafe),
                                            std::pair(Effect::kUnsafe, Effect::kKeyed)));
 
-TEST_F(SettingsChange, AKeysLifeIsTheOneThatItsMessageWasBornUnder) {
+TEST_F(SettingsChange, KeysLifetimeIsTheOneThatItsMessageWasEnqueuedWith) {
   for (const bool longer : {true, false}) {
-    TestNode one(With([&](Settings& s) { s.classes[0].key_ttl = longer ? seconds(2) : seconds(20); }));
+    TestNode one(
+        ChangedSettings([&](Settings& s) { s.classes[0].key_ttl = longer ? seconds(2) : seconds(20); }));
     one.Turn(Micros(0), [&] { one.UpdateList({TestNode::MakeEndpoint(1, "a")}); });
     one.Turn(seconds(1), [&] { one.Enqueue(1, 1); });
-    one.Configure(With([&](Settings& s) { s.classes[0].key_ttl = longer ? seconds(20) : seconds(2); }));
+    one.Configure(
+        ChangedSettings([&](Settings& s) { s.classes[0].key_ttl = longer ? seconds(20) : seconds(2); }));
     one.Turn(seconds(4), [&] { one.ReportOutcome(1, Result::kReset); });
     one.Run(seconds(4), seconds(9), [](const SendRecord&) { return Reply{}; });
     EXPECT_EQ(one.CountSends(1) > 1, !longer);
@@ -134,29 +147,37 @@
   }
 }
 
-// The order that a class begins to keep binds what comes behind messages that were taken without it; those
-// that were born in order keep it when it goes.
-TEST_F(SettingsChange, OrderComesForNewMessagesAndStaysForOldOnes) {
-  node.Turn(seconds(1), [&] { node.Enqueue(1, 1, seconds(20), "k"), node.Enqueue(2, 1, seconds(20), "k"); });
-  EXPECT_EQ(node.sends.size(), 2u);  // taken without order
+// Once a class becomes sequential, new messages wait for those that were enqueued before without order.
+// Messages that were enqueued as sequential stay so when the class no longer is.
+TEST_F(SettingsChange, SequentialAppliesToNewMessagesAndIsKeptByOldOnes) {
+  node.Turn(seconds(1), [&] {
+    node.Enqueue(1, 1, seconds(20), "k");
+    node.Enqueue(2, 1, seconds(20), "k");
+  });
+  EXPECT_EQ(node.sends.size(), 2u);  // enqueued without order
   Change(seconds(2), [](Settings& s) { s.classes[0].sequential = true; });
-  node.Turn(milliseconds(2100),
-            [&] { node.Enqueue(3, 1, seconds(20), "k"), node.Enqueue(4, 1, seconds(20), "k"); });
-  EXPECT_EQ(node.CountSends(3), 0);  // two before it are out
+  node.Turn(milliseconds(2100), [&] {
+    node.Enqueue(3, 1, seconds(20), "k");
+    node.Enqueue(4, 1, seconds(20), "k");
+  });
+  EXPECT_EQ(node.CountSends(3), 0);  // two before it are in flight
   Change(milliseconds(2200), [](Settings& s) { s.classes[0].sequential = false; });
   node.Turn(milliseconds(2300), [&] { node.Enqueue(5, 1, seconds(20), "k"); });
-  EXPECT_EQ(node.CountSends(5), 1);  // born without order
+  EXPECT_EQ(node.CountSends(5), 1);  // enqueued without order
   EXPECT_EQ(node.CountSends(3), 0);
-  node.Turn(milliseconds(2400),
-            [&] { node.ReportOutcome(1, Result::kOk), node.ReportOutcome(2, Result::kOk); });
+  node.Turn(milliseconds(2400), [&] {
+    node.ReportOutcome(1, Result::kOk);
+    node.ReportOutcome(2, Result::kOk);
+  });
   EXPECT_EQ(node.CountSends(3), 1);
   EXPECT_EQ(node.CountSends(4), 0);
   node.Turn(milliseconds(2500), [&] { node.ReportOutcome(3, Result::kOk); });
   EXPECT_EQ(node.CountSends(4), 1);
 }
 
-// A call whose connection is not up yet when its class changes: its message's own window binds it.
-TEST_F(SettingsChange, ACallThatWaitsForItsConnectionGoesByItsMessagesRules) {
+// Guards against a call that takes its class's new key lifetime while it waits for its connection: that of
+// its message applies.
+TEST_F(SettingsChange, CallThatWaitsForItsConnectionKeepsItsMessagesRules) {
   Change(milliseconds(100), [](Settings& s) { s.classes[0].key_ttl = seconds(2); });
   node.Turn(seconds(1), [&] { node.Enqueue(1, 1); });
   node.Turn(milliseconds(1500), [&] { node.ReportOutcome(1, Result::kReset); });
@@ -169,12 +190,15 @@
   EXPECT_FALSE(node.brain().MayStillStart(1, milliseconds(2850)));
 }
 
-TEST_F(SettingsChange, AttemptsLoweredBelowThoseMadeEndItByItsOwnRules) {
+TEST_F(SettingsChange, LoweredMaxAttemptsEndsAMessageByItsOwnRules) {
   for (const Effect effect : {Effect::kUnsafe, Effect::kSafe}) {
-    TestNode one(With([&](Settings& s) { s.classes[0].effect = effect; }));
+    TestNode one(ChangedSettings([&](Settings& s) { s.classes[0].effect = effect; }));
     one.Turn(Micros(0), [&] { one.UpdateList({TestNode::MakeEndpoint(1, "a")}); });
     one.Turn(seconds(1), [&] { one.Enqueue(1, 1); });
-    one.Configure(With([](Settings& s) { s.max_attempts = 1, s.classes[0].effect = Effect::kSafe; }));
+    one.Configure(ChangedSettings([](Settings& s) {
+      s.max_attempts = 1;
+      s.classes[0].effect = Effect::kSafe;
+    }));
     one.Turn(seconds(2), [&] { one.ReportOutcome(1, Result::kTimeout); });
     EXPECT_EQ(one.Failed(1), effect == Effect::kUnsafe);
     EXPECT_EQ(one.Refused(1), effect == Effect::kSafe);
@@ -182,8 +206,9 @@
   }
 }
 
-// Its class is gone from the settings: it is delivered all the same, as patiently as any.
-TEST_F(SettingsChange, AMessageOfAClassThatIsGoneIsDelivered) {
+// A message whose class was removed from the settings is delivered all the same, with the longest attempt
+// timeout of any class.
+TEST_F(SettingsChange, MessageOfARemovedClassIsDelivered) {
   node.Turn(seconds(1), [&] {
     Message message{1, -1, 0, "", seconds(20), 1};
     message.rules = BaseSettings().classes[0];
@@ -205,7 +230,7 @@
       [&](Micros now) {
         if (now < seconds(20) && turn % 3 == 0) node.Enqueue(next++, 1, seconds(5));
         if (++turn % 50 == 0) {
-          node.Configure(With([&](Settings& s) {
+          node.Configure(ChangedSettings([&](Settings& s) {
             s.call_slots = 1 + turn / 50 % 9;
             s.max_open = 5 + turn / 50 % 4 * 30;
             s.max_attempts = 1 + turn / 50 % 7;
