--- a/tests/brain_events_test.cpp
+++ b/tests/brain_events_test.cpp
@@ -1,6 +1,6 @@
 // The engine reacts only to the changes that it is fed and never scans all messages. This test feeds random
-// histories and scans all messages after each turn: none may be left that should have been answered, in
-// flight twice or sent after its end.
+// histories and scans all messages after each turn. No message may be left that should have been answered, be
+// sent while in flight or after its end, or be answered twice.
 #include <gtest/gtest.h>
 
 #include <random>
--- a/tests/brain_faults_test.cpp
+++ b/tests/brain_faults_test.cpp
@@ -73,8 +73,8 @@
   EXPECT_LE(node.CountSends(kStart + seconds(2), kStart + seconds(3)), 1);
 }
 
-// Guards against a destination taken for down since it closes idle connections early or resets them under the
-// next call. Several losses in a row do count.
+// Guards against a destination taken for down because it closes idle connections early or resets them under
+// the next call. Several losses in a row do count.
 TEST(IdleConnectionLoss, IsNoOutageUnlessSeveralComeInARow) {
   TestNode node(BaseSettings());
   node.Turn(kStart, [&] { node.UpdateList({TestNode::MakeEndpoint(7, "a")}); });
--- a/tests/brain_probe_test.cpp
+++ b/tests/brain_probe_test.cpp
@@ -78,7 +78,8 @@
   node.Run(kStart + milliseconds(10), kStart + seconds(15), [](const SendRecord&) {
     return Reply{Result::kNoConnection, milliseconds(30)};
   });
-  int most = 0, least = 100;
+  int most = 0;
+  int least = 100;
   for (MessageId id = 1; id <= 4; ++id) {
     most = std::max(most, node.CountSends(id));
     least = std::min(least, node.CountSends(id));
--- a/tests/brain_robustness_test.cpp
+++ b/tests/brain_robustness_test.cpp
@@ -201,7 +201,7 @@
   EXPECT_EQ(node.brain().footprint().lanes, 0U);
 }
 
-// Guards against a call during a Retry-After, since the endpoint left the list meanwhile and came back (rule
+// Guards against a call during a Retry-After because the endpoint left the list meanwhile and came back (rule
 // 6, Retry-After is heeded).
 TEST(RetryAfter, HoldsWhileTheEndpointIsOffTheListAndBackOnIt) {
   TestNode node(BaseSettings());
--- a/tests/brain_rules_overlap_test.cpp
+++ b/tests/brain_rules_overlap_test.cpp
@@ -44,7 +44,7 @@
   }
 }
 
-// Guards against two messages of one order key in flight at once, since their classes differ.
+// Guards against two messages of one order key in flight at once because their classes differ.
 TEST(SharedKeys, AllOrderedClassesShareTheirKeys) {
   TestNode node(TwoOrderedClasses());
   node.Turn(kStart, [&] {
@@ -63,7 +63,7 @@
   EXPECT_EQ(node.CountSends(MessageId{3}), 0);
 }
 
-// Guards against a message that overtakes others of its key, since it keeps the place that it had before it
+// Guards against a message that overtakes others of its key because it keeps the place that it had before it
 // was rejected.
 TEST(SharedKeys, MessageHandedInAgainTakesTheLastPlace) {
   TestNode node(TwoOrderedClasses());
