--- a/tests/brain_slow_start_test.cpp
+++ b/tests/brain_slow_start_test.cpp
@@ -52,7 +52,7 @@
   double worst = 0;   // calls beyond what is allowed, in the worst span
 };
 
-Verdict Run(const Regime& regime, Outage outage, bool uneven, std::uint64_t seed) {
+Verdict RunRegime(const Regime& regime, Outage outage, bool uneven, std::uint64_t seed) {
   const Settings settings = LargeFleetSettings();
   FleetScript script;
   script.rate = regime.capacity;
@@ -96,7 +96,7 @@
        {Outage::kDown, Outage::kHung, Outage::kRefusing, Outage::kFailing, Outage::kRefusingFromLimit}) {
     for (bool uneven : {false, true}) {
       for (int seed = 0; seed < seeds; ++seed) {
-        const Verdict verdict = Run(regime, outage, uneven, 12345 + static_cast<std::uint64_t>(seed));
+        const Verdict verdict = RunRegime(regime, outage, uneven, 12345 + static_cast<std::uint64_t>(seed));
         ++runs;
         over_budget += verdict.over_budget;
         broken += verdict.broken;
