--- a/tests/brain_connection_trust_test.cpp
+++ b/tests/brain_connection_trust_test.cpp
@@ -142,11 +142,13 @@
 // earlier answer had ended that call.
 TEST(ConnectionTrust, ARetryAfterOutsideOfACallPausesItsDestination) {
   TestNode node(BaseSettings());
-  node.Turn(seconds(1), [&] { node.List({TestNode::At(1, "a"), TestNode::At(2, "b")}); });
+  node.Turn(seconds(1), [&] {
+    node.UpdateList({TestNode::MakeEndpoint(1, "a"), TestNode::MakeEndpoint(2, "b")});
+  });
   node.Turn(seconds(2), [&] {
     node.brain().OnRetryAfter("a", milliseconds(500));
-    node.Take(1, 1);
-    node.Take(2, 2);
+    node.Enqueue(1, 1);
+    node.Enqueue(2, 2);
   });
   EXPECT_EQ(node.CountSends(1), 0);
   EXPECT_EQ(node.CountSends(2), 1);
