--- a/src/fleet/facts.cpp
+++ b/src/fleet/facts.cpp
@@ -5,16 +5,10 @@
 namespace indigosaddle::fleet {
 
 bool Facts::Merge(const Fact& fact) {
-  if (fact.key.empty() || fact.key.size() + fact.value.size() > kMaxFactBytes) {
-    ++rejected_;
-    return false;
-  }
+  if (fact.key.empty() || fact.key.size() + fact.value.size() > kMaxFactBytes) return ++rejected_, false;
   const auto it = facts_.find(fact.key);
   if (it == facts_.end()) {
-    if (facts_.size() >= kMaxFacts) {
-      ++rejected_;
-      return false;
-    }
+    if (facts_.size() >= kMaxFacts) return ++rejected_, false;
     facts_.emplace(fact.key, fact);
     return true;
   }
--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -88,10 +88,7 @@
 }
 
 bool Members::Apply(const MemberUpdate& update, Micros now) {
-  if (update.name == self_) {
-    ApplyAboutSelf(update);
-    return false;
-  }
+  if (update.name == self_) return ApplyAboutSelf(update), false;
   const auto it = members_.find(update.name);
   if (it == members_.end()) return false;  // not in the roster
   Member& member = it->second;
