--- a/src/cli/journal.cpp
+++ b/src/cli/journal.cpp
@@ -102,7 +102,7 @@
     const std::string state = m.end == "owed" ? fmt::format("owed{}{}", m.out ? ", call out" : "",
                                                             m.may_have_run ? ", may have run" : "")
                                               : m.end;
-    const std::int64_t millis = m.taken.give_up_at.count() / 1000;
+    const std::int64_t millis = m.taken.deadline.count() / 1000;
     if (as_json) {
       const auto text = [](const std::string& s) { return json(s); };
       list.push_back({{"number", serial},
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -34,7 +34,7 @@
   message.body = std::move(enqueue.body);
   message.destination = enqueue.destination;
   message.rules = born.rules;
-  message.give_up_at = enqueue.begun + enqueue.time_left;
+  message.deadline = enqueue.begun + enqueue.time_left;
   Push(std::move(event));
 }
 
--- a/src/node/node_log.cpp
+++ b/src/node/node_log.cpp
@@ -96,7 +96,7 @@
 
 void Node::Do(state::MessageResumed& e) {
   log_.Write(base::kMessageResumed, e.id, e.destination, static_cast<std::uint64_t>(e.past.attempts),
-             e.past.may_have_run, e.give_up_at - loop_.Now(), Describe(e.rules));
+             e.past.may_have_run, e.deadline - loop_.Now(), Describe(e.rules));
 }
 
 void Node::LogCall(const net::CallResult& result) {
--- a/src/state/completed_messages.h
+++ b/src/state/completed_messages.h
@@ -34,7 +34,7 @@
     message.body.clear();
     const std::size_t bytes = RecordSize(message) + RecordSize(MessageEnded{serial, end, Micros(0)});
     by_id_[message.id] = serial;
-    by_time_.emplace(message.give_up_at, serial);
+    by_time_.emplace(message.deadline, serial);
     bytes_ += bytes;
     entries_.emplace(serial, Entry{std::move(message), end, bytes});
   }
@@ -53,7 +53,7 @@
     const AcceptedMessage& message = it->second.message;
     const auto id = by_id_.find(message.id);
     if (id != by_id_.end() && id->second == serial) by_id_.erase(id);
-    by_time_.erase({message.give_up_at, serial});
+    by_time_.erase({message.deadline, serial});
     bytes_ -= it->second.bytes;
     entries_.erase(it);
   }
--- a/src/state/effects.h
+++ b/src/state/effects.h
@@ -178,7 +178,7 @@
   std::uint64_t destination = 0;
   RepeatRules rules{};
   PriorAttempts past;
-  Micros give_up_at{0};
+  Micros deadline{0};
 };
 
 // For the log: a message that had ended as delivered is reported as failed.
--- a/src/state/journal.cpp
+++ b/src/state/journal.cpp
@@ -31,7 +31,7 @@
     w.Text(*text);
   }
   w.Unsigned(r.destination);
-  w.Time(r.give_up_at);
+  w.Time(r.deadline);
   w.Unsigned(static_cast<std::uint64_t>(r.rules.effect), 1);
   w.Unsigned(static_cast<std::uint64_t>(r.rules.group), 1);
   w.Time(r.rules.key_ttl);
--- a/src/state/journal.h
+++ b/src/state/journal.h
@@ -30,8 +30,7 @@
   std::string order_key;
   std::string body;
   std::uint64_t destination = 0;
-  // The deadline.
-  Micros give_up_at{0};
+  Micros deadline{0};
   // The rules in force when it was accepted, which it keeps.
   RepeatRules rules = kStrictestRules;
 };
--- a/src/state/journal_read.cpp
+++ b/src/state/journal_read.cpp
@@ -78,7 +78,7 @@
     *text = in.Text();
   }
   r.destination = in.Unsigned();
-  r.give_up_at = in.Time();
+  r.deadline = in.Time();
   if (!in.has_rules_and_zone_names()) return;  // its rules were not recorded: the strictest apply
   r.rules.effect = in.Choice(Effect::kUnsafe);
   r.rules.group = in.Choice(Group::kCell);
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -43,7 +43,7 @@
         ++resumed;
         const AcceptedMessage& message = pending.message;
         effects_.emplace_back(
-            MessageResumed{message.id, message.destination, message.rules, pending.past, message.give_up_at});
+            MessageResumed{message.id, message.destination, message.rules, pending.past, message.deadline});
       }
       // Of ended messages the delivery policy is told only those whose order key waits for the notice.
       if (!pending.ended || (state_.notices.contains(serial) && !pending.message.order_key.empty()))
@@ -103,7 +103,7 @@
     // A response just before the deadline may be too late for the client, whose clock started earlier: a
     // notice is sent as well, which does no harm where the response was in time.
     outcome.answer_pending = meaning.result == Result::kOk &&
-                             e.at >= pending->message.give_up_at - kClientClockUncertainty && !pending->ended;
+                             e.at >= pending->message.deadline - kClientClockUncertainty && !pending->ended;
     outcome.wait = e.wait;
     outcome.load = e.load;
     effects_.emplace_back(TellOutcome{outcome});
--- a/src/state/reducer_base.h
+++ b/src/state/reducer_base.h
@@ -62,7 +62,7 @@
     message.message_class = NumberOf(state_.limits.classes, pending.message.message_class);
     message.tenant = NumberOf(state_.limits.tenants, pending.message.tenant);
     message.key = pending.message.order_key;
-    message.deadline = pending.message.give_up_at;
+    message.deadline = pending.message.deadline;
     message.destination = pending.message.destination;
     message.order_position = pending.message.serial;
     message.past = pending.past;
--- a/tests/node_ready_test.cpp
+++ b/tests/node_ready_test.cpp
@@ -30,7 +30,7 @@
       taken.message_class = "safe";
       taken.rules = {Effect::kSafe};
       taken.destination = 7;
-      taken.give_up_at = Now() + seconds(60);
+      taken.deadline = Now() + seconds(60);
       taken.body = std::string(300, 'b');
       change(taken);
       state::AppendRecord(bytes, taken);
--- a/tests/state_journal_test.cpp
+++ b/tests/state_journal_test.cpp
@@ -90,7 +90,7 @@
   const auto& taken = std::get<AcceptedMessage>(read.records.at(0));
   EXPECT_EQ(taken.body, std::string("\0\r\n\xff", 4));
   EXPECT_EQ(taken.destination, 7u);
-  EXPECT_EQ(taken.give_up_at, seconds(20));
+  EXPECT_EQ(taken.deadline, seconds(20));
   EXPECT_EQ(taken.rules, SampleMessage(1).rules);
   EXPECT_EQ(std::get<AttemptStarted>(read.records.at(1)).zone, "z-2");
   EXPECT_EQ(std::get<AttemptFinished>(read.records.at(2)).result, Result::kTimeout);
