--- a/src/node/node.h
+++ b/src/node/node.h
@@ -124,13 +124,13 @@
   void Carry(state::Effect& effect);
   void Do(state::TellMessage& e);
   void Do(state::TellWithdrawn& e);
-  void Do(state::TellAnswerTold& e);
+  void Do(state::TellAnswerDelivered& e);
   void Do(state::TellOutcome& e);
   void Do(state::TellList& e);
   void Do(state::TellListWatchLost& e);
   void Do(state::TellRetryAfter& e);
   void Do(state::TellStop& e);
-  void Do(state::TellZoneUnsure& e);
+  void Do(state::TellZoneLost& e);
   void Do(state::TellSettings& e);
   void Do(state::AppendJournal& e);
   void Do(state::RewriteJournal& e);
@@ -142,7 +142,7 @@
   void Do(state::CloseIdle& e);
   void Do(state::Note& e);
   void Do(state::MessageResumed& e);
-  void Do(state::MessageDoubted& e);
+  void Do(state::MessageInDoubt& e);
   void Do(state::MessageFinished& e);
   void Count(const state::MessageFinished& e, Micros held);
   void LogCall(const net::CallResult& result);
--- a/src/node/node_connections.cpp
+++ b/src/node/node_connections.cpp
@@ -32,7 +32,7 @@
              NameOf(connection.state), connection.age, connection.in_state, connection.calls, closed.last_id);
 }
 
-void Node::OnDoubted(const std::vector<std::uint64_t>& serials) { Push(state::AnswersDoubted{serials}); }
+void Node::OnDoubted(const std::vector<std::uint64_t>& serials) { Push(state::AnswersInDoubt{serials}); }
 
 void Node::OnTrustBreak(const net::ClosedConnection& connection) {
   log_.Write(base::kTrustBreak, connection.endpoint, connection.connection.number,
--- a/src/node/node_fleet.cpp
+++ b/src/node/node_fleet.cpp
@@ -38,7 +38,7 @@
 void Node::OnFleet() {
   if (fleet_ == nullptr) return;
   for (const std::string& zone : fleet_->NewlyLostZones()) {
-    later_.push_back(state::TellZoneUnsure{NumberOf(config_.zones, zone)});
+    later_.push_back(state::TellZoneLost{NumberOf(config_.zones, zone)});
     turn_due_ = true;
   }
   if (!config_.fleet.count_senders) return;
@@ -52,8 +52,8 @@
 void Node::PushSettings() {
   Settings settings = InForce();
   senders_in_force_ = settings.senders;
-  const auto most_open = static_cast<std::size_t>(std::max(0, settings.max_open));
-  Push(state::SettingsChanged{std::move(settings), most_open, config_.classes, config_.tenants});
+  const auto max_open = static_cast<std::size_t>(std::max(0, settings.max_open));
+  Push(state::SettingsChanged{std::move(settings), max_open, config_.classes, config_.tenants});
 }
 
 void Node::TellFleet() {
--- a/src/node/node_log.cpp
+++ b/src/node/node_log.cpp
@@ -116,7 +116,7 @@
   }
 }
 
-void Node::Do(state::MessageDoubted& e) { log_.Write(base::kMessageDoubted, e.id); }
+void Node::Do(state::MessageInDoubt& e) { log_.Write(base::kMessageDoubted, e.id); }
 
 void Node::OnRecovery(const RecoveryChange& change) {
   log_.Write(base::kRecovery, change.destination, change.endpoint, NameOf(change.from), NameOf(change.to),
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -103,7 +103,7 @@
   brain_->OnWithdrawn(e.id);
   if (watcher_) watcher_->OnWithdrawn(e.id);
 }
-void Node::Do(state::TellAnswerTold& e) { brain_->OnAnswerDelivered(e.id); }
+void Node::Do(state::TellAnswerDelivered& e) { brain_->OnAnswerDelivered(e.id); }
 void Node::Do(state::TellOutcome& e) {
   brain_->OnOutcome(e.outcome);
   if (watcher_) watcher_->OnOutcome(e.outcome);
@@ -125,7 +125,7 @@
   brain_->OnStop(e.at);
   if (watcher_) watcher_->OnStop(e.at);
 }
-void Node::Do(state::TellZoneUnsure& e) {
+void Node::Do(state::TellZoneLost& e) {
   brain_->OnZoneLost(e.zone);
   if (watcher_) watcher_->OnZoneUnsure(e.zone);
 }
--- a/src/state/effects.h
+++ b/src/state/effects.h
@@ -28,7 +28,7 @@
 };
 
 // The platform has accepted the notice of a message.
-struct TellAnswerTold {
+struct TellAnswerDelivered {
   MessageId id = 0;
 };
 
@@ -62,7 +62,7 @@
 
 // The fleet agreed that endpoints of a zone may have gone down unseen. The node emits this itself: the
 // reducer's state does not depend on it.
-struct TellZoneUnsure {
+struct TellZoneLost {
   // The zone's number in the settings.
   int zone = -1;
 };
@@ -182,7 +182,7 @@
 };
 
 // For the log: a message that had ended as delivered is reported as failed.
-struct MessageDoubted {
+struct MessageInDoubt {
   std::string id;
 };
 
@@ -202,10 +202,10 @@
   std::optional<GiveUpCause> cause{};
 };
 
-using Effect = std::variant<TellMessage, TellWithdrawn, TellAnswerTold, TellOutcome, TellList,
-                            TellListWatchLost, TellRetryAfter, TellStop, TellZoneUnsure, TellSettings,
+using Effect = std::variant<TellMessage, TellWithdrawn, TellAnswerDelivered, TellOutcome, TellList,
+                            TellListWatchLost, TellRetryAfter, TellStop, TellZoneLost, TellSettings,
                             AppendJournal, RewriteJournal, Reply, StartCall, PostNotices, ArmTimer,
-                            RenewWatch, CloseIdle, Note, MessageResumed, MessageDoubted, MessageFinished>;
+                            RenewWatch, CloseIdle, Note, MessageResumed, MessageInDoubt, MessageFinished>;
 using Effects = std::vector<Effect>;
 
 }  // namespace indigosaddle::state
--- a/src/state/events.h
+++ b/src/state/events.h
@@ -102,7 +102,7 @@
 
 // The responses that ended these messages as delivered may have belonged to other calls on the same
 // connections.
-struct AnswersDoubted {
+struct AnswersInDoubt {
   std::vector<Serial> serials;
 };
 
@@ -120,8 +120,8 @@
 // New settings are in force. Numbers of classes and tenants stay; names may be added or removed.
 struct SettingsChanged {
   Settings settings;
-  // See Limits::most_open.
-  std::size_t most_open = 0;
+  // See Limits::max_open.
+  std::size_t max_open = 0;
   // Numbers by name.
   std::map<std::string, int> classes;
   std::map<std::string, int> tenants;
@@ -182,7 +182,7 @@
 };
 
 using Event = std::variant<Recovered, ClientMessage, ClientGone, ListUpdate, ListWatchLost, CallConnected,
-                           CallEnded, RetryAfterReceived, AnswersDoubted, NoticesAccepted, StopRequested,
+                           CallEnded, RetryAfterReceived, AnswersInDoubt, NoticesAccepted, StopRequested,
                            SettingsChanged, SendRequested, ReturnRequested, FailRequested, TimerRequested,
                            WatchRequested, CloseIdleRequested, TurnEnded, JournalWritten>;
 
--- a/src/state/list_update.h
+++ b/src/state/list_update.h
@@ -15,29 +15,30 @@
 
 // The delivery policy keeps endpoints by destination: an endpoint that has another destination now is
 // reported as gone from the old one first.
-inline void AddGoneFromOldDestination(const EndpointsById& listed, const Endpoint& now, TellList& told) {
+inline void AddGoneFromOldDestination(const EndpointsById& listed, const Endpoint& now,
+                                      TellList& policy_update) {
   const auto it = listed.find(now.id);
   if (it == listed.end() || it->second.endpoint.destination == now.destination) return;
-  told.entries.push_back(it->second.endpoint);
-  told.entries.back().state = EndpointState::kGone;
+  policy_update.entries.push_back(it->second.endpoint);
+  policy_update.entries.back().state = EndpointState::kGone;
 }
 
 // An endpoint whose entry could not be read counts as draining, which the entry may have said (rule 3:
 // nothing new to a draining endpoint).
-inline void AddUnreadableAsDraining(EndpointsById& listed, const EndpointId& id, TellList& told) {
+inline void AddUnreadableAsDraining(EndpointsById& listed, const EndpointId& id, TellList& policy_update) {
   const auto it = listed.find(id);
   if (it == listed.end()) return;
   it->second.endpoint.state = EndpointState::kDraining;
-  told.entries.push_back(it->second.endpoint);
+  policy_update.entries.push_back(it->second.endpoint);
 }
 
 // Changes `listed` and appends the effects.
 inline void ApplyListUpdate(EndpointsById& listed, const ListUpdate& update, Effects& effects) {
-  TellList told{{}, update.whole};
+  TellList policy_update{{}, update.whole};
   EndpointsById before = update.whole ? std::exchange(listed, {}) : EndpointsById();
   for (const ListedEndpoint& entry : update.entries) {
-    AddGoneFromOldDestination(listed, entry.endpoint, told);
-    told.entries.push_back(entry.endpoint);
+    AddGoneFromOldDestination(listed, entry.endpoint, policy_update);
+    policy_update.entries.push_back(entry.endpoint);
     before.erase(entry.endpoint.id);
     if (entry.endpoint.state != EndpointState::kGone) {
       listed[entry.endpoint.id] = entry;
@@ -45,9 +46,9 @@
       before.insert(std::move(removed));
     }
   }
-  for (const EndpointId& id : update.unreadable) AddUnreadableAsDraining(listed, id, told);
+  for (const EndpointId& id : update.unreadable) AddUnreadableAsDraining(listed, id, policy_update);
   for (const auto& [id, gone] : before) effects.emplace_back(CloseIdle{id});
-  effects.emplace_back(std::move(told));
+  effects.emplace_back(std::move(policy_update));
 }
 
 }  // namespace indigosaddle::state
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -63,7 +63,7 @@
     if (AnswerRepeated(e)) return;
     if (!e.may_accept) return ReplyTo(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kStopping);
     const std::size_t bytes = RecordSize(e.message) + kReservedForLaterRecords;
-    const bool full = state_.limits.most_open > 0 && state_.open() >= state_.limits.most_open;
+    const bool full = state_.limits.max_open > 0 && state_.open() >= state_.limits.max_open;
     if (full || state_.reserved_bytes + bytes > state_.limits.journal_bytes * kPendingJournalPercent / 100) {
       return ReplyTo(e.client, Answer::kBusy, Micros(0), e.message, Refusal::kNoRoom);
     }
@@ -121,11 +121,11 @@
   void operator()(const RetryAfterReceived& e) { effects_.emplace_back(TellRetryAfter{e.endpoint, e.wait}); }
 
   // A notice is sent after all: it does no harm where the response was the message's own.
-  void operator()(const AnswersDoubted& e) {
+  void operator()(const AnswersInDoubt& e) {
     for (Serial serial : e.serials) {
       const CompletedMessages::Entry* entry = state_.completed.Find(serial);
       if (entry == nullptr || entry->end != MessageEnd::kNoNotice) continue;
-      effects_.emplace_back(MessageDoubted{entry->message.id});
+      effects_.emplace_back(MessageInDoubt{entry->message.id});
       StageRecord(MessageEnded{serial, MessageEnd::kFailed, Micros(0)});
     }
   }
@@ -135,7 +135,7 @@
     for (Serial serial : e.serials) {
       if (!state_.notices.contains(serial)) continue;
       StageRecord(NoticeAccepted{serial});
-      effects_.emplace_back(TellAnswerTold{serial});
+      effects_.emplace_back(TellAnswerDelivered{serial});
       applier_.RemoveIfDone(serial);
     }
   }
@@ -143,7 +143,7 @@
   void operator()(const StopRequested& e) { effects_.emplace_back(TellStop{e.ends_at}); }
 
   void operator()(const SettingsChanged& e) {
-    state_.limits.most_open = e.most_open;
+    state_.limits.max_open = e.max_open;
     state_.limits.classes = e.classes;
     state_.limits.tenants = e.tenants;
     effects_.emplace_back(TellSettings{e.settings});
--- a/src/state/reducer.h
+++ b/src/state/reducer.h
@@ -1,6 +1,6 @@
 // The state that a node keeps in memory, and the one function that changes it: from a state and an event to
-// the next state and effects, without I/O or a clock. src/node/node.cpp carries out the effects in the order
-// given.
+// the next state and effects, without I/O or a clock. src/node/node_turn.cpp carries out the effects in the
+// order given.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 // What the settings and the machine allow.
 struct Limits {
   // Messages held at once; 0: not limited.
-  std::size_t most_open = 0;
+  std::size_t max_open = 0;
   // Bytes of the journal folder, with a rewrite in progress counted.
   std::size_t journal_bytes = 0;
   // Numbers of the names in the settings.
@@ -64,7 +64,7 @@
 // All that the reducer remembers between events. Only Reduce changes it, but for `limits` and `rewrite_due`,
 // which the node sets too.
 struct State {
-  explicit State(Limits told) : limits(std::move(told)) {}
+  explicit State(Limits initial_limits) : limits(std::move(initial_limits)) {}
 
   Limits limits;
   std::map<Serial, PendingMessage> pending;
--- a/tests/state_calls_test.cpp
+++ b/tests/state_calls_test.cpp
@@ -115,7 +115,7 @@
     EXPECT_EQ(driver.All<PostNotices>()[0].notices.at(0).end, MessageEnd::kFailed);
     EXPECT_EQ(driver.Restart().All<PostNotices>().size(), 0u);  // sent in the first turn of the next process
     driver.Feed(NoticesAccepted{{serial}});
-    EXPECT_EQ(driver.All<TellAnswerTold>().size(), 1u);
+    EXPECT_EQ(driver.All<TellAnswerDelivered>().size(), 1u);
     EXPECT_TRUE(driver.state.pending.empty());
   }
 }
--- a/tests/state_driver.h
+++ b/tests/state_driver.h
@@ -35,8 +35,8 @@
 // Starts with one endpoint, s-1 of destination 7, in the list.
 class ReducerDriver {
  public:
-  explicit ReducerDriver(std::size_t journal_bytes = 100000, std::size_t most_open = 100)
-      : state({most_open, journal_bytes, {{"notice", 0}}, {{"acme", 1}}, {{"z-3", 3}, {"z-2", 2}}}) {
+  explicit ReducerDriver(std::size_t journal_bytes = 100000, std::size_t max_open = 100)
+      : state({max_open, journal_bytes, {{"notice", 0}}, {{"acme", 1}}, {{"z-3", 3}, {"z-2", 2}}}) {
     Feed(Recovered{});
     EndTurn();
     Feed(ListUpdate{{{{"s-1", 3, 0, 7, EndpointState::kReady}, "127.0.0.1:1"}}, true});
--- a/tests/state_repeated_command_test.cpp
+++ b/tests/state_repeated_command_test.cpp
@@ -78,8 +78,8 @@
 TEST_F(RepeatedCommand, DoubtedDeliverySendsOneNotice) {
   Deliver("a");
   const Serial serial = driver.state.last_serial;
-  driver.Feed(AnswersDoubted{{serial}});
-  driver.Feed(AnswersDoubted{{serial}});
+  driver.Feed(AnswersInDoubt{{serial}});
+  driver.Feed(AnswersInDoubt{{serial}});
   driver.EndTurn();
   const auto posts = driver.All<PostNotices>();
   ASSERT_EQ(posts.size(), 1u);
