--- a/src/brain/outcomes.h
+++ b/src/brain/outcomes.h
@@ -92,9 +92,9 @@
   }
 
   // Adds a served call to the latency and rate figures.
-  void NoteServed(RateScope& scope, Micros taken) {
+  void NoteServed(RateScope& scope, Micros elapsed) {
     ++scope.answered;
-    const double latency = Seconds(taken);
+    const double latency = Seconds(elapsed);
     if (scope.mean_latency <= 0) {
       scope.mean_latency = latency;
       scope.latency_deviation = latency / 2;
--- a/src/brain/slow_start.h
+++ b/src/brain/slow_start.h
@@ -81,12 +81,12 @@
     const double since = Seconds(now_ - std::exchange(allowance.at, now_));
     if (RecoveryOf(health) == Recovery::kHealthy || since <= 0) return;
     const double sure = AssuredLimit(scope);
-    const bool told = scope.reported_limit > 0 || Listed(scope) > 0;
-    const double by_demand = told ? kByDemand : kByDemandUnknownLimit;
+    const bool limit_known = scope.reported_limit > 0 || Listed(scope) > 0;
+    const double by_demand = limit_known ? kByDemand : kByDemandUnknownLimit;
     const double demanded = by_demand * health.served_share * scope.demand.Faded(now_, since);
     const double even = waiting ? (1 - by_demand) * sure / set_.senders * since : 0;
     const double multiple = set_.overload_factor * Warmth(health);
-    const double budget = told ? multiple * sure * Seconds(set_.fall) : kSmallBudget;
+    const double budget = limit_known ? multiple * sure * Seconds(set_.fall) : kSmallBudget;
     double earned = BudgetShare(budget) * multiple * part * (demanded + even);
     if (health.recovery == Recovery::kProbing && waiting)
       earned = std::max(earned, part * kProbesPerFall / set_.senders / Seconds(set_.fall) * since);
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -117,7 +117,7 @@
   // Closes the idle connections to an endpoint.
   void CloseIdle(std::int64_t node, std::string_view endpoint);
   // Sends data to another instance.
-  void Tell(std::int64_t node, std::int64_t peer, std::string_view base64);
+  void SendToPeer(std::int64_t node, std::int64_t peer, std::string_view base64);
   // Writes a line to the simulator's log.
   void Log(std::int64_t node, std::string_view text);
   // Reports that the instance has failed.
--- a/src/wire/encoder.cpp
+++ b/src/wire/encoder.cpp
@@ -82,7 +82,7 @@
   text_.append(" endpoint=").append(endpoint).append("\n");
 }
 
-void Encoder::Tell(std::int64_t node, std::int64_t peer, std::string_view base64) {
+void Encoder::SendToPeer(std::int64_t node, std::int64_t peer, std::string_view base64) {
   BeginAction(text_, "memo_to", node);
   text_.append(" dst=").append(std::to_string(peer)).append(" data=").append(base64).append("\n");
 }
--- a/tests/encoder_test.cpp
+++ b/tests/encoder_test.cpp
@@ -21,7 +21,7 @@
   encoder.Cancel(3, 5, 1);
   encoder.Probe(3, "a:1");
   encoder.CloseIdle(3, "a:1");
-  encoder.Tell(3, -1, "aGkgNw==");
+  encoder.SendToPeer(3, -1, "aGkgNw==");
   encoder.Log(3, "two servers known");
   encoder.Crash(3, "broken");
   EXPECT_EQ(encoder.Finish(),
