--- a/src/brain/settings.h
+++ b/src/brain/settings.h
@@ -84,19 +84,19 @@
   Weights weights = Weights::kNone;
   bool retry_advice = true;  // an answer that returns a message can say when to hand it in again
   Decay decay = Decay::kEven;
-  double over_share_worth = 1;         // factor on the worth of messages of a tenant over its share
-  double price_cross_zone = 0;         // of a call to another zone
-  double price_handshake = 0;          // of a new connection
-  double cold_from = 0;                // share of its capacity that a recovering destination has at first
-  double overload_factor = 0;          // most load on a recovering destination, as a multiple of its capacity
-  Micros cold{0};                      // time that a recovering destination takes to reach its full capacity
-  Micros fall{0};                      // time window over which an overload is counted
-  Micros must_ask_in{0};               // time after which a changed list counts as known (rule 3)
-  Micros turn_gap{0};                  // pause of an order key after an attempt that may still be running
-  Micros tick{0};                      // slack at deadlines
-  Micros idle_close{0};                // idle timeout of connections
-  Micros max_retry_after{0};           // Retry-After given with a returned message
-  std::vector<ClassSettings> classes;  // by Message::message_class
+  double over_share_worth = 1;  // factor on the worth of messages of a tenant over its share
+  double price_cross_zone = 0;  // of a call to another zone
+  double price_handshake = 0;   // of a new connection
+  double cold_from = 0;         // share of its capacity that a recovering destination has at first
+  double overload_factor = 0;   // most load on a recovering destination, as a multiple of its capacity
+  Micros cold{0};               // time that a recovering destination takes to reach its full capacity
+  Micros fall{0};               // time window over which an overload is counted
+  Micros must_ask_in{0};        // time without asking after which the current list counts as known (rule 3)
+  Micros turn_gap{0};           // pause of an order key after an attempt that may still be running
+  Micros tick{0};               // slack at deadlines
+  Micros idle_close{0};         // idle timeout of connections
+  Micros max_retry_after{0};    // Retry-After given with a returned message
+  std::vector<ClassSettings> classes;   // by Message::message_class
   std::vector<TenantSettings> tenants;  // by Message::tenant
   std::vector<KindSettings> kinds;      // by Endpoint::kind
   std::vector<double> zone_fee;         // of a call, by Endpoint::zone
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -37,7 +37,7 @@
 enum class ListMode {
   kChanges,  // holds only the entries that changed
   kWhole,    // holds all entries
-  kCached,   // holds all entries, answered from a cache
+  kCached,   // holds all entries as the instance last had them; may be outdated
   kFailed,   // the list could not be obtained
 };
 
