--- a/src/brain/brain.cpp
+++ b/src/brain/brain.cpp
@@ -27,11 +27,12 @@
   void OnList(const std::vector<Endpoint>& entries, bool whole) override {
     outdated_from_ = Micros::max();
     for (auto& [id, destination] : destinations_) {
-      for (EndpointRecord& record : destination.endpoints)
+      for (EndpointRecord& record : destination.endpoints) {
         if (whole) {
           record.endpoint.state = EndpointState::kGone;
           destination.last_listed = now_;
         }
+      }
     }
     if (!entries.empty() && !std::exchange(list_received_, true)) CheckAll();
     for (const Endpoint& entry : entries) {
@@ -176,9 +177,10 @@
     SlowStartFigures figures{0, slow_start_calls_};
     for (const auto& [id, destination] : destinations_) {
       figures.recovering += RecoveryOf(destination.shared.health) != Recovery::kHealthy;
-      for (const EndpointRecord& record : destination.endpoints)
+      for (const EndpointRecord& record : destination.endpoints) {
         figures.recovering +=
             record.kind.separate_routes && RecoveryOf(record.own.health) != Recovery::kHealthy;
+      }
     }
     return figures;
   }
--- a/src/brain/outcomes.h
+++ b/src/brain/outcomes.h
@@ -56,9 +56,10 @@
   // several in a row the node is short of something, and attempts pause so that they last until that is over.
   void NoteNotSent(EndpointRecord& record, Result result) {
     record.not_sent = result == Result::kNotSent ? record.not_sent + 1 : 0;
-    if (record.not_sent >= kNotSentRun)
+    if (record.not_sent >= kNotSentRun) {
       record.blocked_until =
           std::max(record.blocked_until, now_ + ToMicros((1 + RandomShare()) * Seconds(kRetryGap)));
+    }
   }
 
   // Applies a result to the health of endpoint and scope. Some failures can be explained without an outage,
--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -51,9 +51,10 @@
   fleet.seed = options_.seed;
   fleet.floor = WallMillis() / 1000;
   std::string trouble;
-  if (!file_.Read(fleet.memory, trouble) && !trouble.empty())
+  if (!file_.Read(fleet.memory, trouble) && !trouble.empty()) {
     events_.Put(
         {FleetEvent::Kind::kTrouble, "fleet.memory " + trouble + "; the other voters are asked", "", 0});
+  }
   fleet.start = fleet.memory.start = std::max(fleet.memory.start + 1, WallMillis());
   if (!file_.Write(fleet.memory)) return "fleet.memory cannot be written in the state folder";
   fleet_ = std::make_unique<Fleet>(std::move(fleet), clock_.Now());
--- a/src/fleet/fleet_agreed.cpp
+++ b/src/fleet/fleet_agreed.cpp
@@ -125,9 +125,10 @@
   const Fact* fact = facts_.Find(kSendersFact);
   const auto agreed = fact != nullptr ? ParseSenders(fact->value) : std::nullopt;
   if (agreed && was_connected_) view.senders = std::max(*agreed, view.present);
-  for (const auto& [name, member] : members_.all())
+  for (const auto& [name, member] : members_.all()) {
     view.members.push_back(
         {name, member.peer.site, member.latest.liveness, member.known, member.latest.start});
+  }
   view.leases = Leases(now);
   view.facts = facts_.all();
   view.sites = SitesAgreed();
--- a/src/fleet/fleet_events.cpp
+++ b/src/fleet/fleet_events.cpp
@@ -31,9 +31,10 @@
     if (!was_up && (it == before.sites.end() || it->second.state != status.state))
       events.push_back({Kind::kSite, site, NameOf(status.state), static_cast<std::uint64_t>(status.losses)});
   }
-  if (after.superseded && !before.superseded)
+  if (after.superseded && !before.superseded) {
     events.push_back(
         {Kind::kTrouble, "a later process has this node's name; this one holds no leases any more", "", 0});
+  }
   if (after.files_differ && !before.files_differ) {
     events.push_back(
         {Kind::kTrouble, "a member's file names other voters; no lease is granted until they agree", "", 0});
--- a/src/net/call_connection.cpp
+++ b/src/net/call_connection.cpp
@@ -91,16 +91,18 @@
 
 void CallPool::Connection::OnConnected(int error) {
   phase_.Stop();
-  if (error != 0)
+  if (error != 0) {
     return End(error == UV_ECONNREFUSED ? state::AttemptResult::kConnectionRefused
                                         : state::AttemptResult::kConnectFailed);
+  }
   up_ = true;
   life_.MarkConnected(Now());
   if (stream_.StartReading() != 0) return End(state::AttemptResult::kBrokenBeforeSent);
   const StartPermit permit = pool_.may_start_(serial_);
-  if (!permit)
+  if (!permit) {
     return pool_.Finished(*this, ResultOf(state::AttemptResult::kNotStarted), After::kKeep,
                           DenialReason::kNone);
+  }
   Send(*permit);
 }
 
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -11,8 +11,7 @@
 namespace indigosaddle::state {
 namespace {
 
-// How uncertain a message's deadline is here: its client counts from when it sent the first byte, and the
-// time on the network is not known.
+// Uncertainty of a deadline: its client counts from its first byte sent, after an unknown network delay.
 constexpr Micros kClientClockUncertainty = std::chrono::milliseconds(50);
 
 class Reducer : private RepeatedCommands {
@@ -109,9 +108,10 @@
     effects_.emplace_back(TellOutcome{outcome});
     StageRecord(AttemptFinished{e.serial, meaning.result});
     if (meaning.message_done) {
-      if (!pending->ended)
+      if (!pending->ended) {
         ReportEnd(*pending,
                   meaning.result == Result::kOk ? MessageResult::kDelivered : MessageResult::kWithdrawn);
+      }
       StageRecord(MessageEnded{e.serial, outcome.answer_pending ? MessageEnd::kFailed : MessageEnd::kNoNotice,
                                Micros(0)});
     }
