--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -75,7 +75,7 @@
 
 Agent::~Agent() {
   if (!thread_.joinable()) return;
-  close_request_->Ask();
+  close_request_->Request();
   thread_.join();
 }
 
--- a/src/fleet/transport.cpp
+++ b/src/fleet/transport.cpp
@@ -210,7 +210,7 @@
   const auto it = addresses_.find(with);
   if (it == addresses_.end() || exchanges_.size() >= kMaxExchanges) return;
   auto& exchange = *exchanges_.emplace_back(std::make_unique<Exchange>(*this, true));
-  if (exchange.stream().ComeFrom(own_) != 0 || exchange.stream().Connect(it->second.text) != 0)
+  if (exchange.stream().BindLocal(own_) != 0 || exchange.stream().Connect(it->second.text) != 0)
     return exchange.Finish();
   ArmSweep();
 }
--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -14,16 +14,16 @@
 }
 
 std::string BoundAddress(int descriptor) {
-  sockaddr_storage at{};
-  socklen_t size = sizeof at;
+  sockaddr_storage address{};
+  socklen_t size = sizeof address;
   char text[INET6_ADDRSTRLEN] = {};
-  if (getsockname(descriptor, reinterpret_cast<sockaddr*>(&at), &size) != 0) return {};
-  if (at.ss_family == AF_INET6) {
-    const auto& v6 = reinterpret_cast<const sockaddr_in6&>(at);
+  if (getsockname(descriptor, reinterpret_cast<sockaddr*>(&address), &size) != 0) return {};
+  if (address.ss_family == AF_INET6) {
+    const auto& v6 = reinterpret_cast<const sockaddr_in6&>(address);
     uv_ip6_name(&v6, text, sizeof text);
     return fmt::format("[{}]:{}", text, ntohs(v6.sin6_port));
   }
-  const auto& v4 = reinterpret_cast<const sockaddr_in&>(at);
+  const auto& v4 = reinterpret_cast<const sockaddr_in&>(address);
   uv_ip4_name(&v4, text, sizeof text);
   return fmt::format("{}:{}", text, ntohs(v4.sin_port));
 }
@@ -33,8 +33,8 @@
   if (colon == std::string::npos) return false;
   int port = 0;
   const char* end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(text.data() + colon + 1, end, port);
-  if (error != std::errc() || stop != end || port < 0 || port > 65535) return false;
+  const auto [parsed_end, error] = std::from_chars(text.data() + colon + 1, end, port);
+  if (error != std::errc() || parsed_end != end || port < 0 || port > 65535) return false;
   std::string host = text.substr(0, colon);
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') {
     host = host.substr(1, host.size() - 2);
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,4 +1,4 @@
-// Addresses of sockets as text.
+// Conversion between socket addresses and text.
 #pragma once
 
 #include <uv.h>
@@ -7,10 +7,11 @@
 
 namespace indigosaddle::net {
 
-// False where the text is not "ip:port".
+// Parses "ip:port" or "[ip]:port" into `address`. Returns false if the text is neither.
 bool ParseAddress(const std::string& text, sockaddr_storage& address);
 
-// Where a listener is bound, as "ip:port" or "[ip]:port"; empty where it is none or the system does not say.
+// The address that a listening socket is bound to, as "ip:port" or "[ip]:port". Empty if there is no socket
+// or the system does not report its address.
 std::string BoundAddress(const uv_tcp_t* listener);
 std::string BoundAddress(int descriptor);
 
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -104,7 +104,7 @@
 
   void Answer(const AdminAnswer& answer) {
     answered_ = true;
-    if (stream_.Write(FormatAnswer(answer)) != 0 || stream_.EndSending() != 0) server_.Drop(id_);
+    if (stream_.Write(FormatAnswer(answer)) != 0 || stream_.HalfClose() != 0) server_.Drop(id_);
   }
 
   AdminServer& server_;
--- a/src/net/call_answer.cpp
+++ b/src/net/call_answer.cpp
@@ -23,7 +23,7 @@
 // Bytes that belong to no call may tell a wait all the same: the own answer of a call that a copy has ended.
 Micros CallPool::UnaskedWait(std::string_view bytes) {
   HttpReader reader(bytes.size());
-  reader.Take(bytes);
+  reader.Read(bytes);
   return ToldWait(reader);
 }
 
@@ -41,7 +41,7 @@
 void CallPool::Connection::OnBytes(std::string_view bytes) {
   if (!in_call_ && state() != ConnectionState::kReadingRest) return pool_.IdleEnded(*this, bytes);
   last_read_ = bytes.size();
-  const bool good = reader_.Take(bytes);
+  const bool good = reader_.Read(bytes);
   early_ = early_ || (in_call_ && !sent_ && reader_.begun());
   in_call_ ? TakeAnswer(good) : TakeRest(good);
 }
@@ -75,7 +75,7 @@
 void CallPool::Connection::OnEnd(int) {
   if (state() == ConnectionState::kReadingRest) return pool_.RestEnded(*this, DenialReason::kEndedByPeer);
   if (!in_call_) return pool_.IdleEnded(*this, {});
-  reader_.TakeEnd();
+  reader_.ReadEnd();
   if (reader_.done()) return Answered(false, false);
   if (reader_.status() == 200) return Spoilt();
   if (begun_) return End(state::AttemptResult::kBrokenMidAnswer, DenialReason::kEndedByPeer);
--- a/src/net/call_connection.cpp
+++ b/src/net/call_connection.cpp
@@ -42,7 +42,7 @@
   ConnectionFacts facts = Facts();
   facts.address_changed = dial != dial_;
   facts.idle_too_long = pool_.Worn(*this);
-  facts.unread_input = !stream_.silent();
+  facts.unread_input = !stream_.open_and_quiet();
   facts.first_call_only = first_call_only;
   return CheckConnectionUse(facts, ConnectionUse::kSendCall);
 }
@@ -149,7 +149,7 @@
   if (!in_call_) return;
   if (failure_) return End(*failure_);
   if (!up_) return End(state::AttemptResult::kConnectFailed);
-  if (ReadFirst(timeout_, stream_)) return;
+  if (RestartIfUnread(timeout_, stream_)) return;
   if (!sent_) return End(state::AttemptResult::kBrokenBeforeSent);
   if (begun_) return Spoilt();
   End(state::AttemptResult::kTimedOut);
@@ -159,7 +159,7 @@
   if (state() == ConnectionState::kReadingRest) return pool_.RestEnded(*this, DenialReason::kEndedByPeer);
   if (!in_call_) return;
   if (!up_) return End(state::AttemptResult::kConnectFailed);
-  if (ReadFirst(phase_, stream_)) return;
+  if (RestartIfUnread(phase_, stream_)) return;
   Spoilt();
 }
 
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -83,7 +83,7 @@
 
 void Discovery::OnBytes(std::string_view bytes) {
   if (stream_ == nullptr) return;
-  const bool good = reader_.Take(bytes);
+  const bool good = reader_.Read(bytes);
   if (stream_ == nullptr) return;  // lost while the body was read
   if (reader_.head_done() && reader_.status() != 200)
     return Lost(fmt::format("status {}", reader_.status()), Loss::kRefused);
@@ -103,7 +103,7 @@
 }
 
 void Discovery::OnSilence() {
-  if (up_ && stream_ != nullptr && ReadFirst(silence_, *stream_)) return;
+  if (up_ && stream_ != nullptr && RestartIfUnread(silence_, *stream_)) return;
   Lost("silent", answered_ ? Loss::kSilent : Loss::kUnreached);
 }
 
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -12,7 +12,7 @@
 }
 
 Loop::~Loop() {
-  uv_run(&loop_, UV_RUN_NOWAIT);  // lets closing handles finish
+  uv_run(&loop_, UV_RUN_NOWAIT);  // runs the close callbacks of handles
   uv_loop_close(&loop_);
 }
 
@@ -26,7 +26,8 @@
   return time_origin_ + std::chrono::duration_cast<Micros>(elapsed);
 }
 
-Timer::Timer(Loop& loop, std::function<void()> due) : handle_(new Handle), due_(std::move(due)) {
+Timer::Timer(Loop& loop, std::function<void()> callback)
+    : handle_(new Handle), callback_(std::move(callback)) {
   handle_->owner = this;
   uv_timer_init(loop.raw(), &handle_->timer);
   handle_->timer.data = handle_;
@@ -39,9 +40,9 @@
 }
 
 void Timer::Start(Micros after) {
-  // Rounded up: a timer that is early by a fraction of a millisecond would find nothing due.
-  // One that is due again at once would hold the loop in its timers for ever.
-  const auto millis = std::max<std::int64_t>(handle_->due ? 1 : 0,
+  // Rounded up: a timer that runs a fraction of a millisecond early would find nothing to do. And at least
+  // 1 ms if started within its own callback: libuv would otherwise run it again in this pass, without end.
+  const auto millis = std::max<std::int64_t>(handle_->in_callback ? 1 : 0,
                                              std::chrono::ceil<std::chrono::milliseconds>(after).count());
   uv_update_time(handle_->timer.loop);
   uv_timer_start(
@@ -49,10 +50,11 @@
       [](uv_timer_t* timer) {
         auto* handle = static_cast<Handle*>(timer->data);
         if (handle->owner != nullptr) {
-          const std::function<void()> due = handle->owner->due_;  // may destroy its timer, not the handle
-          handle->due = true;
-          due();
-          handle->due = false;
+          // A copy, as the callback may destroy its timer. It can't destroy the handle.
+          const std::function<void()> callback = handle->owner->callback_;
+          handle->in_callback = true;
+          callback();
+          handle->in_callback = false;
         }
       },
       static_cast<std::uint64_t>(millis), 0);
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,4 @@
-// The one loop of the node, and the handles on it as owned objects: destroying one closes it.
+// The event loop of a thread, and the libuv handles on it as owned objects: destroying one closes it.
 #pragma once
 
 #include <uv.h>
@@ -16,6 +16,7 @@
 
 namespace indigosaddle::net {
 
+// A libuv loop and its clock. The constructor throws std::runtime_error if libuv fails.
 class Loop {
  public:
   Loop();
@@ -27,11 +28,12 @@
   void Run() { uv_run(&loop_, UV_RUN_DEFAULT); }
   void Stop() { uv_stop(&loop_); }
 
-  // The loop's time: steady. It begins at the wall clock of when the loop was made, unless it is set.
+  // The loop's time. Steady; starts from the wall clock at construction, unless it is set.
   Micros Now() const;
-  void SetTime(Micros now);  // before anything has read it; runs on from there
+  // Sets the time, which runs on from there. To be called before anything has read it.
+  void SetTime(Micros now);
 
-  // Where reads land; what a callback is given is valid until it returns.
+  // Shared buffer for all reads. Data passed to a callback is valid until the callback returns.
   std::array<char, 65536>& read_buffer() { return read_buffer_; }
 
  private:
@@ -41,37 +43,41 @@
   std::array<char, 65536> read_buffer_{};
 };
 
+// A one-shot timer. Its callback may destroy it.
 class Timer {
  public:
-  Timer(Loop& loop, std::function<void()> due);
+  Timer(Loop& loop, std::function<void()> callback);
   ~Timer();
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
-  void Start(
-      Micros after);  // replaces an earlier start; from within what it does, a later pass at the soonest
+  // Replaces an earlier start. Started within its own callback, it runs in a later pass of the loop.
+  void Start(Micros after);
   void Stop();
 
  private:
   struct Handle {
     uv_timer_t timer{};
     Timer* owner = nullptr;
-    bool due = false;  // its owner is at what it does
+    bool in_callback = false;
   };
   Handle* handle_;
-  std::function<void()> due_;
+  std::function<void()> callback_;
 };
 
 // A TCP connection. Its callbacks may destroy it.
 class Stream {
  public:
+  // Receives the events of a stream.
   class Listener {
    public:
     virtual ~Listener() = default;
     virtual void OnConnected(int /*error*/) {}
     virtual void OnBytes(std::string_view bytes) = 0;
-    virtual void OnEnd(int error) = 0;  // UV_EOF or what broke it; the last callback
-    virtual void OnDrained() {}         // all that was written is with the system
+    // The stream ended (UV_EOF) or broke (another negative libuv error code). The last callback.
+    virtual void OnEnd(int error) = 0;
+    // All that was written was handed to the system.
+    virtual void OnDrained() {}
   };
 
   Stream(Loop& loop, Listener& listener);
@@ -79,24 +85,40 @@
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  int ComeFrom(
-      const sockaddr_storage& address);     // before Connect: from its ip, a port of the system's choice
-  int Connect(const std::string& address);  // "ip:port"; a negative code where it can't begin
+  // The following return 0, or a negative libuv error code.
+  // Before Connect: connects from the IP of `address`, with a port that the system chooses.
+  int BindLocal(const sockaddr_storage& address);
+  // Begins to connect to "ip:port".
+  int Connect(const std::string& address);
   int Accept(uv_stream_t* server);
-  int Open(uv_os_sock_t descriptor);  // a connection that was accepted already; owned from here on
+  // Takes over an accepted connection, which it owns from here on, also after an error.
+  int Open(uv_os_sock_t descriptor);
   int StartReading();
   void StopReading();
-  int Write(std::string bytes);  // a negative code where the connection is known to be broken
-  int EndSending();              // after what was written, at once where all of that has left
-  void Discard();                // reads and drops what has come
-  void Close();                  // at once; no callback comes any more, and the object may be kept
-  void Abort();                  // the same, and nothing that has not left yet does so any more
-  bool undelivered() const;      // what was written has not wholly arrived at the other side's system
+  // Takes over the bytes. Fails if the connection is known to be broken.
+  int Write(std::string bytes);
+  // Ends the sending direction after what was written, at once if all of that has left.
+  int HalfClose();
+
+  // Reads and drops what has arrived.
+  void DiscardInput();
+  // Closes at once. No callback comes any more; the object may be kept.
+  void Close();
+  // As Close, and resets the connection, so that nothing that has not left yet is sent any more.
+  void Abort();
+
+  // Whether something that was written has not yet reached the peer's system.
+  bool undelivered() const;
+  // Bytes that were not handed to the system yet.
   std::size_t unwritten() const;
-  std::size_t unread() const;                         // bytes that have come and were not read
-  bool ended_unread() const;                          // the other side has closed, which was not read yet
-  bool silent() const;                                // open, and nothing lies unread
-  bool PeerAddress(sockaddr_storage& address) const;  // false where there is none
+  // Bytes that have arrived and were not read.
+  std::size_t unread() const;
+  // Whether the peer has closed the connection and that was not read yet.
+  bool has_unread_end() const;
+  // Whether the connection is open and nothing lies unread on it.
+  bool open_and_quiet() const;
+  // Returns false if there is no peer.
+  bool PeerAddress(sockaddr_storage& address) const;
 
  private:
   struct Handle;
@@ -106,8 +128,9 @@
   Listener& listener_;
 };
 
-// For what a timer is about to give up: the loop's timers come before its reads, so a node that was held up
-// reads first. True where bytes lie unread on the stream: the timer then comes once more behind them.
-bool ReadFirst(Timer& timer, const Stream& stream);
+// For the callback of a timeout. A loop runs its timers before its reads, so after a stall the data that was
+// awaited may have arrived already. If bytes lie unread on the stream, restarts the timer to run after they
+// are read, and returns true.
+bool RestartIfUnread(Timer& timer, const Stream& stream);
 
 }  // namespace indigosaddle::net
--- a/src/net/notices.cpp
+++ b/src/net/notices.cpp
@@ -39,7 +39,7 @@
 
   // False where it can't begin.
   bool Begin() { return stream_.Connect(owner_.address_) == 0; }
-  bool MustReadFirst(Timer& timer) const { return up_ && ReadFirst(timer, stream_); }
+  bool MustReadFirst(Timer& timer) const { return up_ && RestartIfUnread(timer, stream_); }
   // From now on nothing of it is heard.
   void Silence() { stream_.Close(); }
 
@@ -50,12 +50,12 @@
   }
   // An answer that begins before the post has left whole is none to it.
   void OnBytes(std::string_view bytes) override {
-    const bool good = reader_.Take(bytes);
+    const bool good = reader_.Read(bytes);
     if (stream_.unwritten() > 0 || (!good && !reader_.done())) return owner_.Again();
     if (reader_.done()) owner_.Answered(reader_);
   }
   void OnEnd(int) override {
-    reader_.TakeEnd();
+    reader_.ReadEnd();
     reader_.done() ? owner_.Answered(reader_) : owner_.Again();
   }
 
--- a/src/net/resp_connection.cpp
+++ b/src/net/resp_connection.cpp
@@ -68,7 +68,7 @@
   const Micros quiet = now - quiet_since_;
   if (lingering_) {
     if (quiet < (linger_end_ == ClientEnd::kTurnedAway ? resp::kLinger : resp::kDepart)) return;
-    Discard();  // a node that was held up has not read it yet
+    DiscardInput();  // a node that was held up has not read it yet
     server_.Drop(id_, linger_end_);
   } else if (stream_.unwritten() > 0) {
     if (quiet >= resp::kUntaken) server_.Drop(id_, ClientEnd::kUntaken);
@@ -155,7 +155,7 @@
   lingering_ = true;
   linger_end_ = end;
   quiet_since_ = server_.loop_.Now();
-  if (stream_.EndSending() != 0 || stream_.StartReading() != 0) server_.Drop(id_, ClientEnd::kBroke);
+  if (stream_.HalfClose() != 0 || stream_.StartReading() != 0) server_.Drop(id_, ClientEnd::kBroke);
 }
 
 void RespServer::Connection::CountUnread(std::size_t bytes) {
--- a/src/net/resp_connection.h
+++ b/src/net/resp_connection.h
@@ -26,7 +26,7 @@
   std::uint64_t commands() const { return last_command_; }
   bool asked() const { return last_command_ > 0; }
   bool unread() const { return stream_.unread() > 0; }
-  bool Gone() const { return stream_.ended_unread(); }
+  bool Gone() const { return stream_.has_unread_end(); }
   // It has its end: nothing is read from it any more but to be dropped.
   bool lingering() const { return lingering_; }
   bool Quiet() const;
@@ -39,7 +39,7 @@
   // It has come just now and has not asked yet.
   bool Newcomer() const;
   // Reads and drops what has come, so that a close finds nothing unread.
-  void Discard() { stream_.Discard(); }
+  void DiscardInput() { stream_.DiscardInput(); }
 
   // How readily it gives way to a new client, most readily first; none: not at all.
   std::optional<int> GivesWay(Micros now) const;
--- a/src/net/resp_server.cpp
+++ b/src/net/resp_server.cpp
@@ -182,7 +182,7 @@
 void RespServer::Close() {
   listener_.Close();
   admit_.Stop(), sweep_.Stop();
-  for (const auto& [id, connection] : connections_) connection->Discard();
+  for (const auto& [id, connection] : connections_) connection->DiscardInput();
   connections_.clear();
 }
 
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -12,14 +12,14 @@
 namespace indigosaddle::net {
 namespace {
 
-constexpr int kMostDiscardedBlocks = 64;  // of a sender that does not pause
+constexpr int kMaxDiscardedBlocks = 64;  // in one call: the sender may never pause
 
 }  // namespace
 
 struct Stream::Handle {
   uv_tcp_t tcp{};
   uv_connect_t connect{};
-  uv_shutdown_t end{};
+  uv_shutdown_t shutdown_request{};
   Stream* owner = nullptr;
   std::size_t unwritten = 0;
 };
@@ -66,19 +66,19 @@
 }
 
 int Stream::Connect(const std::string& address) {
-  sockaddr_storage to{};
-  if (!ParseAddress(address, to)) return UV_EINVAL;
-  const int error = uv_tcp_connect(&handle_->connect, &handle_->tcp, reinterpret_cast<const sockaddr*>(&to),
-                                   [](uv_connect_t* request, int status) {
-                                     auto* handle = static_cast<Handle*>(request->data);
-                                     if (handle->owner != nullptr)
-                                       handle->owner->listener_.OnConnected(status);
-                                   });
+  sockaddr_storage socket_address{};
+  if (!ParseAddress(address, socket_address)) return UV_EINVAL;
+  const int error =
+      uv_tcp_connect(&handle_->connect, &handle_->tcp, reinterpret_cast<const sockaddr*>(&socket_address),
+                     [](uv_connect_t* request, int status) {
+                       auto* handle = static_cast<Handle*>(request->data);
+                       if (handle->owner != nullptr) handle->owner->listener_.OnConnected(status);
+                     });
   if (error == 0) uv_tcp_nodelay(&handle_->tcp, 1);
   return error;
 }
 
-int Stream::ComeFrom(const sockaddr_storage& address) {
+int Stream::BindLocal(const sockaddr_storage& address) {
   sockaddr_storage from = address;
   (from.ss_family == AF_INET6 ? reinterpret_cast<sockaddr_in6&>(from).sin6_port
                               : reinterpret_cast<sockaddr_in&>(from).sin_port) = 0;
@@ -120,19 +120,20 @@
 
 int Stream::Write(std::string bytes) {
   auto* stream = reinterpret_cast<uv_stream_t*>(&handle_->tcp);
-  std::size_t done = 0;
+  std::size_t written_now = 0;
   if (handle_->unwritten == 0) {
     const uv_buf_t buffer = uv_buf_init(bytes.data(), static_cast<unsigned>(bytes.size()));
     const int wrote = uv_try_write(stream, &buffer, 1);
     if (wrote < 0 && wrote != UV_EAGAIN) return wrote;
-    done = wrote > 0 ? static_cast<std::size_t>(wrote) : 0;
-    if (done == bytes.size()) return 0;
+    written_now = wrote > 0 ? static_cast<std::size_t>(wrote) : 0;
+    if (written_now == bytes.size()) return 0;
   }
   auto* pending = new Pending{{}, handle_, std::move(bytes), 0};  // deleted in the callback below
-  pending->size = pending->bytes.size() - done;
+  pending->size = pending->bytes.size() - written_now;
   pending->request.data = pending;
   handle_->unwritten += pending->size;
-  const uv_buf_t buffer = uv_buf_init(pending->bytes.data() + done, static_cast<unsigned>(pending->size));
+  const uv_buf_t buffer =
+      uv_buf_init(pending->bytes.data() + written_now, static_cast<unsigned>(pending->size));
   const int error = uv_write(&pending->request, stream, &buffer, 1, [](uv_write_t* request, int status) {
     const std::unique_ptr<Pending> written(static_cast<Pending*>(request->data));
     Handle* handle = written->handle;
@@ -151,23 +152,23 @@
   return error;
 }
 
-// The system is told at once: by libuv's own way a later pass of the loop tells it, and what the other side
-// writes until then goes unanswered.
-int Stream::EndSending() {
+// Calls shutdown directly if possible: libuv would do it in a later pass of the loop, and what the peer
+// writes until then would go unanswered.
+int Stream::HalfClose() {
   uv_os_fd_t descriptor = -1;
   if (handle_->unwritten == 0 &&
       uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->tcp), &descriptor) == 0) {
     return shutdown(descriptor, SHUT_WR) == 0 ? 0 : uv_translate_sys_error(errno);
   }
-  return uv_shutdown(&handle_->end, reinterpret_cast<uv_stream_t*>(&handle_->tcp),
+  return uv_shutdown(&handle_->shutdown_request, reinterpret_cast<uv_stream_t*>(&handle_->tcp),
                      [](uv_shutdown_t*, int) {});
 }
 
-void Stream::Discard() {
+void Stream::DiscardInput() {
   uv_os_fd_t descriptor = -1;
   if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->tcp), &descriptor) != 0) return;
   std::array<char, 16384> space{};
-  for (int block = 0; block < kMostDiscardedBlocks; ++block) {
+  for (int block = 0; block < kMaxDiscardedBlocks; ++block) {
     if (recv(descriptor, space.data(), space.size(), MSG_DONTWAIT) <= 0) return;
   }
 }
@@ -181,7 +182,7 @@
   return ioctl(descriptor, FIONREAD, &count) == 0 && count > 0 ? static_cast<std::size_t>(count) : 0;
 }
 
-bool Stream::ended_unread() const {
+bool Stream::has_unread_end() const {
   uv_os_fd_t descriptor = -1;
   char byte = 0;
   if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->tcp), &descriptor) != 0) return true;
@@ -189,7 +190,7 @@
   return count == 0 || (count < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
 }
 
-bool Stream::silent() const {
+bool Stream::open_and_quiet() const {
   uv_os_fd_t descriptor = -1;
   char byte = 0;
   if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->tcp), &descriptor) != 0) return false;
@@ -202,7 +203,7 @@
   return uv_tcp_getpeername(&handle_->tcp, reinterpret_cast<sockaddr*>(&address), &size) == 0;
 }
 
-bool ReadFirst(Timer& timer, const Stream& stream) {
+bool RestartIfUnread(Timer& timer, const Stream& stream) {
   if (stream.unread() == 0) return false;
   timer.Start(std::chrono::milliseconds(1));
   return true;
--- a/src/node/fleet_link.cpp
+++ b/src/node/fleet_link.cpp
@@ -32,7 +32,7 @@
       changed_(std::move(changed)),
       reader_(published_),
       wakeup_(loop, [this] { Heard(); }),
-      agent_(OptionsOf(config), published_, [this] { wakeup_.Ask(); }) {}
+      agent_(OptionsOf(config), published_, [this] { wakeup_.Request(); }) {}
 
 std::size_t FleetLink::Senders(std::size_t by_file) const {
   if (!counts_senders_) return by_file;
--- a/tests/net_loop_test.cpp
+++ b/tests/net_loop_test.cpp
@@ -98,7 +98,7 @@
   std::string at_last;
   timer = std::make_unique<net::Timer>(loop, [&] {
     ++due;
-    if (!net::ReadFirst(*timer, stream)) at_last = heard.text, loop.Stop();
+    if (!net::RestartIfUnread(*timer, stream)) at_last = heard.text, loop.Stop();
   });
   ASSERT_EQ(stream.Connect("127.0.0.1:" + std::to_string(port)), 0);
   const Socket peer(accept4(listener.get(), nullptr, nullptr, SOCK_CLOEXEC));
--- a/tests/net_odd_answer_test.cpp
+++ b/tests/net_odd_answer_test.cpp
@@ -39,7 +39,7 @@
 TEST(OddHeader, AHeaderThatComesTwiceIsReadWithAllItSays) {
   HttpReader reader(10);
   ASSERT_TRUE(
-      reader.Take("HTTP/1.1 429 Full\r\nX-Retry-In-Ms: 5000\r\nA: b\r\nx-retry-in-ms: 0\r\nX-No-Slot: \r\n"
+      reader.Read("HTTP/1.1 429 Full\r\nX-Retry-In-Ms: 5000\r\nA: b\r\nx-retry-in-ms: 0\r\nX-No-Slot: \r\n"
                   "Content-Length: 0\r\n\r\n"));
   EXPECT_EQ(reader.header("x-retry-in-ms"), "5000, 0");
   EXPECT_EQ(reader.header("a"), "b");
@@ -47,7 +47,7 @@
   EXPECT_TRUE(reader.has("x-no-slot"));
   EXPECT_FALSE(reader.has("x-none"));
   reader.Reset();
-  ASSERT_TRUE(reader.Take("HTTP/1.1 200 OK\r\nA: c\r\nContent-Length: 0\r\n\r\n"));
+  ASSERT_TRUE(reader.Read("HTTP/1.1 200 OK\r\nA: c\r\nContent-Length: 0\r\n\r\n"));
   EXPECT_EQ(reader.header("a"), "c");
 }
 
@@ -77,11 +77,11 @@
   for (const std::string line : {"HTTP/1.1 0200 OK", "HTTP/1.1 00200", "HTTP/1.1 20 0", "HTTP/1.1 2",
                                  "HTTP/1.1 99 x", "HTTP/1.1 0100 C", "HTTP/1.1 2000", "HTTP/1.1 -200"}) {
     HttpReader whole(10), split(10);
-    EXPECT_FALSE(whole.Take(line + "\r\nContent-Length: 0\r\n\r\n")) << line;
+    EXPECT_FALSE(whole.Read(line + "\r\nContent-Length: 0\r\n\r\n")) << line;
     EXPECT_NE(whole.status(), 200) << line;
     bool good = true;
     for (const char c : line + "\r\nContent-Length: 0\r\n\r\n")
-      good = good && split.Take(std::string_view(&c, 1));
+      good = good && split.Read(std::string_view(&c, 1));
     EXPECT_FALSE(good) << line;
     EXPECT_NE(split.status(), 200) << line;
   }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -25,8 +25,8 @@
       "3\r\n\r\nabc";
   for (std::size_t i = 0; i <= text.size(); ++i) {
     HttpReader reader(10);
-    ASSERT_TRUE(reader.Take(std::string_view(text).substr(0, i))) << i;
-    ASSERT_TRUE(reader.Take(std::string_view(text).substr(i))) << i;
+    ASSERT_TRUE(reader.Read(std::string_view(text).substr(0, i))) << i;
+    ASSERT_TRUE(reader.Read(std::string_view(text).substr(i))) << i;
     EXPECT_TRUE(reader.done()) << i;
     EXPECT_EQ(reader.status(), 429);
     EXPECT_EQ(reader.header("x-retry-in-ms"), "250");
@@ -37,7 +37,7 @@
 
 TEST(HttpReader, TheFirstLineAloneTellsTheStatus) {
   HttpReader reader(10);
-  ASSERT_TRUE(reader.Take("HTTP/1.1 200 OK\r\nX-A: "));
+  ASSERT_TRUE(reader.Read("HTTP/1.1 200 OK\r\nX-A: "));
   EXPECT_EQ(reader.status(), 200);
   EXPECT_FALSE(reader.head_done());
 }
@@ -48,12 +48,12 @@
     for (const std::string line : {"HTTP/1.1 200 OK\r\n", "HTTP/1.1 200\r\n", "HTTP/1.0 200 OK\n"}) {
       for (std::size_t cut = 0; cut <= line.size(); ++cut) {
         HttpReader whole(10), split(10);
-        ASSERT_TRUE(whole.Take(before + line.substr(0, cut)));
-        ASSERT_TRUE(split.Take(before));
-        for (const char c : line.substr(0, cut)) ASSERT_TRUE(split.Take(std::string_view(&c, 1)));
+        ASSERT_TRUE(whole.Read(before + line.substr(0, cut)));
+        ASSERT_TRUE(split.Read(before));
+        for (const char c : line.substr(0, cut)) ASSERT_TRUE(split.Read(std::string_view(&c, 1)));
         for (HttpReader* reader : {&whole, &split}) {
           EXPECT_EQ(reader->status(), cut == line.size() ? 200 : 0) << line << cut;
-          reader->TakeEnd();
+          reader->ReadEnd();
           EXPECT_EQ(reader->status(), cut == line.size() ? 200 : 0) << line << cut;
           EXPECT_FALSE(reader->done());
         }
@@ -69,7 +69,7 @@
   for (std::size_t cut = 1; cut + 2 <= line.size(); ++cut) {
     HttpReader reader(10);
     const bool good =
-        reader.Take(line.substr(0, cut)) && reader.Take("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n");
+        reader.Read(line.substr(0, cut)) && reader.Read("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n");
     EXPECT_FALSE(good) << cut;
     EXPECT_EQ(reader.status(), 0) << cut;
   }
@@ -77,10 +77,10 @@
 
 TEST(HttpReader, AnAnswerMayEndWithItsConnection) {
   HttpReader reader(10);
-  ASSERT_TRUE(reader.Take("HTTP/1.1 503 Full\r\n\r\nabc"));
+  ASSERT_TRUE(reader.Read("HTTP/1.1 503 Full\r\n\r\nabc"));
   EXPECT_TRUE(reader.ends_with_connection());
   EXPECT_FALSE(reader.done());
-  reader.TakeEnd();
+  reader.ReadEnd();
   EXPECT_TRUE(reader.done());
   EXPECT_FALSE(reader.keep_alive());
 }
@@ -89,7 +89,7 @@
   HttpReader reader(10);
   for (const std::string close : {"", "Connection: close\r\n"}) {
     reader.Reset();
-    ASSERT_TRUE(reader.Take("HTTP/1.1 200 OK\r\n" + close + "Content-Length: 0\r\n\r\n"));
+    ASSERT_TRUE(reader.Read("HTTP/1.1 200 OK\r\n" + close + "Content-Length: 0\r\n\r\n"));
     EXPECT_TRUE(reader.done());
     EXPECT_EQ(reader.keep_alive(), close.empty());
   }
@@ -103,7 +103,7 @@
         std::string("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n"),
         std::string("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nab and more")}) {
     HttpReader reader(10);
-    EXPECT_FALSE(reader.Take(bad)) << bad.substr(0, 60);
+    EXPECT_FALSE(reader.Read(bad)) << bad.substr(0, 60);
   }
 }
 
@@ -116,8 +116,8 @@
     for (int i = 0; i < 3; ++i) bad[random() % bad.size()] = static_cast<char>(random());
     HttpReader reader(100);
     const std::size_t cut = random() % bad.size();
-    if (reader.Take(std::string_view(bad).substr(0, cut))) reader.Take(std::string_view(bad).substr(cut));
-    reader.TakeEnd();
+    if (reader.Read(std::string_view(bad).substr(0, cut))) reader.Read(std::string_view(bad).substr(cut));
+    reader.ReadEnd();
     EXPECT_GE(reader.status(), 0);
   }
 }
