--- a/src/net/listen_socket.cpp
+++ b/src/net/listen_socket.cpp
@@ -10,22 +10,22 @@
 namespace indigosaddle::net {
 namespace {
 
-constexpr int kMostPassedOver = 16;  // in one look
+constexpr int kMaxSkippedErrors = 16;  // in one call of Accept
 
 }  // namespace
 
 int ListenSocket::Listen(const std::string& address, int backlog) {
-  sockaddr_storage at{};
-  if (!ParseAddress(address, at)) return UV_EINVAL;
-  const int descriptor = socket(at.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  sockaddr_storage socket_address{};
+  if (!ParseAddress(address, socket_address)) return UV_EINVAL;
+  const int descriptor = socket(socket_address.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (descriptor < 0) return uv_translate_sys_error(errno);
-  const socklen_t size = at.ss_family == AF_INET6 ? sizeof(sockaddr_in6) : sizeof(sockaddr_in);
-  const int yes = 1;
+  const socklen_t size = socket_address.ss_family == AF_INET6 ? sizeof(sockaddr_in6) : sizeof(sockaddr_in);
+  const int enabled = 1;
   // A process that replaces this one listens on the same address while this one still serves; the kernel then
-  // spreads new connections over both. Both must ask for it, so every listener does.
-  const bool listens = setsockopt(descriptor, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes) == 0 &&
-                       setsockopt(descriptor, SOL_SOCKET, SO_REUSEPORT, &yes, sizeof yes) == 0 &&
-                       bind(descriptor, reinterpret_cast<const sockaddr*>(&at), size) == 0 &&
+  // distributes new connections to both. Both sockets must have SO_REUSEPORT, so every listener sets it.
+  const bool listens = setsockopt(descriptor, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled) == 0 &&
+                       setsockopt(descriptor, SOL_SOCKET, SO_REUSEPORT, &enabled, sizeof enabled) == 0 &&
+                       bind(descriptor, reinterpret_cast<const sockaddr*>(&socket_address), size) == 0 &&
                        listen(descriptor, backlog) == 0;
   int error = listens ? 0 : uv_translate_sys_error(errno);
   auto poll = std::make_unique<Poll>();
@@ -46,9 +46,9 @@
 
 int ListenSocket::Accept() {
   if (!open()) return UV_EAGAIN;
-  // A connection that is gone already, and a signal, are passed over, but not without end: the loop must go
-  // on.
-  for (int passed_over = 0; passed_over < kMostPassedOver; ++passed_over) {
+  // A connection that is aborted already, or a signal, is skipped. The number of skips is limited, so that
+  // this does not block the loop.
+  for (int skipped = 0; skipped < kMaxSkippedErrors; ++skipped) {
     const int client = accept4(descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (client >= 0) return client;
     if (errno != EINTR && errno != ECONNABORTED) break;
@@ -64,13 +64,13 @@
   if (!open()) return;
   uv_poll_start(&poll_->handle, UV_READABLE, [](uv_poll_t* handle, int, int) {
     const auto* poll = static_cast<Poll*>(handle->data);
-    if (poll->owner != nullptr) poll->owner->waiting_();
+    if (poll->owner != nullptr) poll->owner->on_pending_();
   });
 }
 
-// A connection that comes between the last accept and the close would be reset, with its request unread. A
-// filter that drops every packet of the listener leaves no such moment; connections in the queue don't carry
-// it.
+// A connection that is established between the last accept and the close would be reset, with its request
+// unread. A filter that drops every packet to the listener prevents that; it does not apply to connections
+// that are in the queue already.
 void ListenSocket::RefuseNew() {
   sock_filter drop_all{BPF_RET | BPF_K, 0, 0, 0};
   const sock_fprog program{1, &drop_all};
--- a/src/net/listen_socket.h
+++ b/src/net/listen_socket.h
@@ -1,6 +1,6 @@
-// A listening TCP socket on the loop. Accepting is the owner's: it is told when somebody waits, and takes
-// them one by one, so that it can make room first and that a process out of descriptors neither spins nor
-// resets who waits (uv_listen does one of the two then).
+// A listening TCP socket on the loop. It reports that connections are pending, and its owner accepts them one
+// by one. So the owner can first close another connection to free a slot, and a process without free
+// descriptors neither loops busily nor resets pending connections, one of which uv_listen does.
 #pragma once
 
 #include <uv.h>
@@ -14,23 +14,31 @@
 
 class ListenSocket {
  public:
-  ListenSocket(Loop& loop, std::function<void()> waiting) : loop_(loop), waiting_(std::move(waiting)) {}
+  // `on_pending` is called while connections are pending.
+  ListenSocket(Loop& loop, std::function<void()> on_pending)
+      : loop_(loop), on_pending_(std::move(on_pending)) {}
   ~ListenSocket() { Close(); }
   ListenSocket(const ListenSocket&) = delete;
   ListenSocket& operator=(const ListenSocket&) = delete;
 
-  // "ip:port"; a negative code where it can't be had. Other processes may listen on the same address.
+  // Listens on "ip:port". Returns 0, or a negative libuv error code. Other processes may listen on the same
+  // address.
   int Listen(const std::string& address, int backlog);
   bool open() const { return poll_ != nullptr; }
-  std::string address() const;  // as bound; empty while closed
+  // The address that it listens on; empty while closed.
+  std::string address() const;
 
-  // The next who waits, as a descriptor of the caller's; UV_EAGAIN: nobody; else why none could be taken.
+  // Accepts the next pending connection and returns its descriptor, which the caller owns. UV_EAGAIN: none is
+  // pending. Otherwise a negative libuv error code.
   int Accept();
-  void Pause();   // says nothing more until Resume; who comes waits in the system's queue
-  void Resume();  // says at once if somebody waits
+  // Stops reporting until Resume; new connections wait in the system's queue.
+  void Pause();
+  // Reports again, at once if connections are pending.
+  void Resume();
   // The system completes no further connection for this socket; those in its queue can still be accepted.
   void RefuseNew();
-  void Close();  // resets who still waits: RefuseNew, then accept them first
+  // Closes the socket and so resets pending connections. To avoid that, call RefuseNew and accept them first.
+  void Close();
 
  private:
   struct Poll {
@@ -39,7 +47,7 @@
   };
 
   Loop& loop_;
-  std::function<void()> waiting_;
+  std::function<void()> on_pending_;
   Poll* poll_ = nullptr;  // closed and freed by the loop
   int descriptor_ = -1;
 };
--- a/src/net/resp.cpp
+++ b/src/net/resp.cpp
@@ -8,11 +8,11 @@
 namespace indigosaddle::net {
 namespace {
 
-constexpr std::int64_t kMostParts = 64;
-constexpr std::size_t kMostLine = 32;  // a mark, a number and the line's end
-constexpr std::size_t kMostCommand = kMostBody + std::size_t{8} * 1024;  // all parts together
-constexpr std::int64_t kMostMillis = 1'000'000'000;                      // of `d`: over eleven days
-constexpr std::size_t kMostName = 256;                                   // an id or a key
+constexpr std::int64_t kMaxParts = 64;
+constexpr std::size_t kMaxLineBytes = 32;  // a type character, a number and the line end
+constexpr std::size_t kMaxCommandBytes = kMaxBodyBytes + std::size_t{8} * 1024;  // sum of all parts
+constexpr std::int64_t kMaxTimeLeftMillis = 1'000'000'000;  // of `d`: more than eleven days
+constexpr std::size_t kMaxNameBytes = 256;                  // of an id or a key
 
 template <typename T>
 bool ParseNumber(std::string_view text, T& value) {
@@ -20,15 +20,17 @@
   return error == std::errc() && end == text.data() + text.size() && !text.empty();
 }
 
-// Ids and keys go on as header values and in JSON: visible ASCII only.
-bool IsName(std::string_view text) {
-  return !text.empty() && text.size() <= kMostName &&
+// Whether the text can be an id or a key. These are sent on as HTTP header values and in JSON, so only
+// visible ASCII is allowed.
+bool IsValidIdOrKey(std::string_view text) {
+  return !text.empty() && text.size() <= kMaxNameBytes &&
          std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 0x7f; });
 }
 
-// The names that an ENQUEUE may give, each once or not at all, with their values as they came.
-struct Names {
-  std::optional<std::string_view> message_class, tenant, key, thread, time_left, marked, again, destination;
+// The fields of an ENQUEUE with their unparsed values. Each may be given once or not at all.
+struct EnqueueFields {
+  std::optional<std::string_view> message_class, tenant, key, thread, time_left, retry_mark, again_mark,
+      destination;
 
   std::optional<std::string_view>* Find(std::string_view name) {
     if (name == "c") return &message_class;
@@ -36,23 +38,23 @@
     if (name == "k") return &key;
     if (name == "thread") return &thread;
     if (name == "d") return &time_left;
-    if (name == "r") return &marked;
-    if (name == "again") return &again;
+    if (name == "r") return &retry_mark;
+    if (name == "again") return &again_mark;
     if (name == "dest") return &destination;
-    return nullptr;  // other names are for others
+    return nullptr;  // names that are not known here are ignored
   }
 };
 
-// Each of these is empty where all is well, else what is wrong.
-std::string ReadNames(std::string_view rest, Names& names) {
-  while (!rest.empty()) {
-    const std::size_t comma = rest.find(',');
-    const std::string_view pair = rest.substr(0, comma);
-    rest.remove_prefix(comma == std::string_view::npos ? rest.size() : comma + 1);
+// Each of the following Read functions returns what is wrong; empty if nothing is.
+std::string ReadFields(std::string_view text, EnqueueFields& fields) {
+  while (!text.empty()) {
+    const std::size_t comma = text.find(',');
+    const std::string_view pair = text.substr(0, comma);
+    text.remove_prefix(comma == std::string_view::npos ? text.size() : comma + 1);
     const std::size_t equals = pair.find('=');
     if (equals == std::string_view::npos) return "a name without a value";
     const std::string_view name = pair.substr(0, equals);
-    std::optional<std::string_view>* const value = names.Find(name);
+    std::optional<std::string_view>* const value = fields.Find(name);
     if (value == nullptr) continue;
     if (value->has_value()) return std::string(name) + " is given twice";
     *value = pair.substr(equals + 1);
@@ -60,50 +62,51 @@
   return {};
 }
 
-// Of the order, where the class has one; zeros: none.
-std::string ReadOrderKey(const std::string& first_word, const Names& names, Enqueue& out) {
-  if (first_word.empty()) return "the key is empty";
-  if (first_word.find_first_not_of('0') != std::string::npos) {
-    if (!IsName(first_word)) return "the key is too long, or not visible ASCII";
-    out.order_key = first_word;
+// Reads the order key, which is used if the class is ordered. A key of zeros means none. It can be the
+// command's first argument (`first_word`) or the field "thread".
+std::string ReadOrderKey(const std::string& key_argument, const EnqueueFields& fields, Enqueue& out) {
+  if (key_argument.empty()) return "the key is empty";
+  if (key_argument.find_first_not_of('0') != std::string::npos) {
+    if (!IsValidIdOrKey(key_argument)) return "the key is too long, or not visible ASCII";
+    out.order_key = key_argument;
   }
-  if (!names.thread) return {};
-  if (!IsName(*names.thread)) return "thread is empty, too long, or not visible ASCII";
-  if (!out.order_key.empty() && out.order_key != *names.thread) return "the key and thread differ";
-  out.order_key = *names.thread;
+  if (!fields.thread) return {};
+  if (!IsValidIdOrKey(*fields.thread)) return "thread is empty, too long, or not visible ASCII";
+  if (!out.order_key.empty() && out.order_key != *fields.thread) return "the key and thread differ";
+  out.order_key = *fields.thread;
   return {};
 }
 
-// A mark of an earlier hand-in; only 0 says that there was none.
-bool IsMarked(const std::optional<std::string_view>& mark) { return mark && *mark != "0"; }
+// Whether the field says that the message was enqueued before. Only the value 0 says that it was not.
+bool SaysEnqueuedBefore(const std::optional<std::string_view>& mark) { return mark && *mark != "0"; }
 
-std::string ReadValues(const Names& names, Enqueue& out) {
-  if (!names.message_class || names.message_class->empty()) return "c is missing";
-  out.message_class = *names.message_class;
-  out.tenant = names.tenant.value_or("");
-  if (names.key && !IsName(*names.key)) return "k is empty, too long, or not visible ASCII";
-  out.idempotency_key = names.key.value_or("");
+std::string ReadValues(const EnqueueFields& fields, Enqueue& out) {
+  if (!fields.message_class || fields.message_class->empty()) return "c is missing";
+  out.message_class = *fields.message_class;
+  out.tenant = fields.tenant.value_or("");
+  if (fields.key && !IsValidIdOrKey(*fields.key)) return "k is empty, too long, or not visible ASCII";
+  out.idempotency_key = fields.key.value_or("");
   double millis = 0;
-  if (!names.time_left) return "d is missing";
-  if (!ParseNumber(*names.time_left, millis) || !(millis >= 0 && millis <= kMostMillis))
+  if (!fields.time_left) return "d is missing";
+  if (!ParseNumber(*fields.time_left, millis) || !(millis >= 0 && millis <= kMaxTimeLeftMillis))
     return "d is no time";
   out.time_left = std::chrono::duration_cast<Micros>(std::chrono::duration<double, std::milli>(millis));
-  if (!names.destination) return "dest is missing";
-  if (!ParseNumber(*names.destination, out.destination)) return "dest is no number";
-  out.handed_in_before = IsMarked(names.marked) || IsMarked(names.again);
+  if (!fields.destination) return "dest is missing";
+  if (!ParseNumber(*fields.destination, out.destination)) return "dest is no number";
+  out.enqueued_before = SaysEnqueuedBefore(fields.retry_mark) || SaysEnqueuedBefore(fields.again_mark);
   return {};
 }
 
 }  // namespace
 
-RespReader::Status RespReader::Break(std::string trouble) {
-  phase_ = Phase::kBroken;
-  trouble_ = std::move(trouble);
-  return Status::kBroken;
+RespReader::Status RespReader::Fail(std::string error) {
+  phase_ = Phase::kMalformed;
+  error_ = std::move(error);
+  return Status::kMalformed;
 }
 
 bool RespReader::ReadLine(std::string_view& bytes) {
-  while (!bytes.empty() && line_.size() <= kMostLine) {
+  while (!bytes.empty() && line_.size() <= kMaxLineBytes) {
     const char c = bytes.front();
     bytes.remove_prefix(1);
     if (c == '\n') return true;
@@ -112,58 +115,59 @@
   return false;
 }
 
-bool RespReader::Number(char mark, std::int64_t most, std::int64_t& value) {
+bool RespReader::ParseLength(char mark, std::int64_t max, std::int64_t& value) {
   std::string_view line = line_;
   if (line.empty() || line.front() != mark || line.back() != '\r') return false;
   line = line.substr(1, line.size() - 2);
-  return ParseNumber(line, value) && value >= 0 && value <= most;
+  return ParseNumber(line, value) && value >= 0 && value <= max;
 }
 
-std::size_t RespReader::held() const {
+std::size_t RespReader::buffered_bytes() const {
   std::size_t bytes = line_.size();
-  if (!fresh_ && phase_ != Phase::kBroken) {
+  if (!command_done_ && phase_ != Phase::kMalformed) {
     for (const std::string& part : command_) bytes += part.size();
   }
   return bytes;
 }
 
 RespReader::Status RespReader::Next(std::string_view& bytes) {
-  if (phase_ == Phase::kBroken) return Status::kBroken;
-  if (std::exchange(fresh_, false)) {
+  if (phase_ == Phase::kMalformed) return Status::kMalformed;
+  if (std::exchange(command_done_, false)) {
     command_.clear();
-    size_ = 0;
+    command_size_ = 0;
   }
   while (true) {
     if (phase_ == Phase::kBulk) {
-      // The body and its line end; a body that is longer than told shows in the latter.
-      const auto wanted = static_cast<std::size_t>(bulk_) + 2 - command_.back().size();
-      const std::size_t taken = std::min(wanted, bytes.size());
-      command_.back().append(bytes.substr(0, taken));
-      bytes.remove_prefix(taken);
-      if (taken < wanted) return Status::kNeedsMore;
-      if (!command_.back().ends_with("\r\n")) return Break("a bulk string that does not end where told");
-      command_.back().resize(static_cast<std::size_t>(bulk_));
-      --left_;
-      phase_ = left_ > 0 ? Phase::kLength : Phase::kArray;
-      if (left_ > 0) continue;
-      fresh_ = true;
+      // The part and its line end. A part that is longer than announced has something else in place of the
+      // line end.
+      const auto wanted = static_cast<std::size_t>(part_size_) + 2 - command_.back().size();
+      const std::size_t count = std::min(wanted, bytes.size());
+      command_.back().append(bytes.substr(0, count));
+      bytes.remove_prefix(count);
+      if (count < wanted) return Status::kNeedsMore;
+      if (!command_.back().ends_with("\r\n")) return Fail("a bulk string that does not end where told");
+      command_.back().resize(static_cast<std::size_t>(part_size_));
+      --parts_left_;
+      phase_ = parts_left_ > 0 ? Phase::kLength : Phase::kArray;
+      if (parts_left_ > 0) continue;
+      command_done_ = true;
       return Status::kCommand;
     }
     if (!ReadLine(bytes)) {
-      return line_.size() > kMostLine ? Break("a line that is too long") : Status::kNeedsMore;
+      return line_.size() > kMaxLineBytes ? Fail("a line that is too long") : Status::kNeedsMore;
     }
     if (phase_ == Phase::kArray) {
-      if (!Number('*', kMostParts, left_)) return Break("expected an array of at most 64 parts");
+      if (!ParseLength('*', kMaxParts, parts_left_)) return Fail("expected an array of at most 64 parts");
       line_.clear();
-      if (left_ == 0) continue;  // an empty array asks nothing
+      if (parts_left_ == 0) continue;  // an empty array is no command
       phase_ = Phase::kLength;
     } else {
-      if (!Number('$', static_cast<std::int64_t>(kMostBody), bulk_)) {
-        return Break("expected a bulk string of at most 65536 bytes");
+      if (!ParseLength('$', static_cast<std::int64_t>(kMaxBodyBytes), part_size_)) {
+        return Fail("expected a bulk string of at most 65536 bytes");
       }
       line_.clear();
-      size_ += static_cast<std::size_t>(bulk_);
-      if (size_ > kMostCommand) return Break("a command that is too long");
+      command_size_ += static_cast<std::size_t>(part_size_);
+      if (command_size_ > kMaxCommandBytes) return Fail("a command that is too long");
       command_.emplace_back();
       phase_ = Phase::kBulk;
     }
@@ -173,13 +177,13 @@
 std::string ParseEnqueue(const std::vector<std::string>& command, Enqueue& out) {
   if (command.size() != 5) return "ENQUEUE takes a key, an id, a list of names and values, and a body";
   out.id = command[2];
-  if (!IsName(out.id)) return "the id is empty, too long, or not visible ASCII";
-  Names names;
-  std::string trouble = ReadNames(command[3], names);
-  if (trouble.empty()) trouble = ReadOrderKey(command[1], names, out);
-  if (trouble.empty()) trouble = ReadValues(names, out);
-  if (trouble.empty()) out.body = command[4];
-  return trouble;
+  if (!IsValidIdOrKey(out.id)) return "the id is empty, too long, or not visible ASCII";
+  EnqueueFields fields;
+  std::string error = ReadFields(command[3], fields);
+  if (error.empty()) error = ReadOrderKey(command[1], fields, out);
+  if (error.empty()) error = ReadValues(fields, out);
+  if (error.empty()) out.body = command[4];
+  return error;
 }
 
 }  // namespace indigosaddle::net
--- a/src/net/resp.h
+++ b/src/net/resp.h
@@ -1,4 +1,5 @@
-// RESP2 as a server reads it: arrays of bulk strings, in any split of bytes, and the commands in them.
+// The server side of RESP2: reads commands, which are arrays of bulk strings, from bytes in any split, and
+// parses ENQUEUE. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,47 +11,56 @@
 
 namespace indigosaddle::net {
 
-// Reads one connection's bytes. Holds at most one unfinished command.
+// Reads the commands of one connection. Holds at most one unfinished command.
 class RespReader {
  public:
-  enum class Status { kNeedsMore, kCommand, kBroken };  // broken: the stream can't be followed further
+  // kMalformed is final: after it no command can be found in the stream.
+  enum class Status { kNeedsMore, kCommand, kMalformed };
 
-  // Takes bytes up to the end of the next command; `bytes` loses what was taken.
+  // Reads up to the end of the next command and removes what it read from `bytes`.
   Status Next(std::string_view& bytes);
 
-  const std::vector<std::string>& command() const { return command_; }  // after kCommand, until Next
-  const std::string& trouble() const { return trouble_; }               // after kBroken
+  // The command's parts. Valid after kCommand, until Next.
+  const std::vector<std::string>& command() const { return command_; }
+  // What is wrong with the stream. Valid after kMalformed.
+  const std::string& error() const { return error_; }
   bool between_commands() const { return phase_ == Phase::kArray && line_.empty(); }
-  std::size_t held() const;  // bytes of an unfinished command
+  // Size of the unfinished command in memory.
+  std::size_t buffered_bytes() const;
 
  private:
-  enum class Phase { kArray, kLength, kBulk, kBroken };
+  // What comes next: the array's length, a part's length, or a part.
+  enum class Phase { kArray, kLength, kBulk, kMalformed };
 
-  Status Break(std::string trouble);
-  bool ReadLine(std::string_view& bytes);  // true: line_ is whole
-  bool Number(char mark, std::int64_t most, std::int64_t& value);
+  Status Fail(std::string error);
+  // Returns true once line_ is complete.
+  bool ReadLine(std::string_view& bytes);
+  // Parses line_ as `mark` and a number of at most `max`. Returns false if it is not that.
+  bool ParseLength(char mark, std::int64_t max, std::int64_t& value);
 
   Phase phase_ = Phase::kArray;
   std::string line_;
   std::vector<std::string> command_;
-  std::int64_t left_ = 0, bulk_ = 0;
-  std::size_t size_ = 0;  // of the command's parts, as told
-  bool fresh_ = true;
-  std::string trouble_;
+  std::int64_t parts_left_ = 0, part_size_ = 0;
+  std::size_t command_size_ = 0;  // sum of the announced sizes of the command's parts
+  bool command_done_ = true;      // the next byte belongs to a new command
+  std::string error_;
 };
 
-// What ENQUEUE hands in, still in the client's words.
+// The arguments of an ENQUEUE command, as the client gave them.
 struct Enqueue {
   std::string id, message_class, tenant, idempotency_key, order_key, body;
   std::uint64_t destination = 0;
-  Micros time_left{0};  // from when the client sent it
-  Micros begun{0};      // its first byte came
-  bool handed_in_before = false;
+  Micros time_left{0};           // to deliver, from when the client sent it
+  Micros received_at{0};         // when the command's first byte arrived
+  bool enqueued_before = false;  // the client enqueued it before, at this node or another
 };
 
-// Empty where the command is well formed, else what is wrong with it; no name may be given twice.
+// Parses an ENQUEUE command. Returns what is wrong with it; empty if it is well formed. No name may be given
+// twice.
 std::string ParseEnqueue(const std::vector<std::string>& command, Enqueue& out);
 
-constexpr std::size_t kMostBody = std::size_t{64} * 1024;
+// The largest part of a command, and so the largest message body.
+constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
 
 }  // namespace indigosaddle::net
--- a/src/net/resp_connection.cpp
+++ b/src/net/resp_connection.cpp
@@ -10,75 +10,83 @@
     : server_(server),
       id_(id),
       stream_(server.loop_, *this),
-      since_(server.loop_.Now()),
-      quiet_since_(since_) {}
+      accepted_at_(server.loop_.Now()),
+      last_activity_at_(accepted_at_) {}
 
 int RespServer::Connection::Begin(uv_os_sock_t descriptor) {
   const int error = stream_.Open(descriptor);
   return error != 0 ? error : stream_.StartReading();
 }
 
-void RespServer::Connection::Bury() {
-  buried_ = true;
+void RespServer::Connection::Detach() {
+  detached_ = true;
   stream_.StopReading();
-  CountUnread(0);
+  SetUnprocessedBytes(0);
 }
 
-bool RespServer::Connection::Quiet() const {
-  return !lingering_ && reader_.between_commands() && OwesNothing() && stream_.unread() == 0;
+bool RespServer::Connection::Idle() const {
+  return !lingering_ && reader_.between_commands() && NothingPending() && stream_.unread() == 0;
 }
 
-void RespServer::Connection::Depart(ClientEnd end) {
-  leaving_ = true;
+void RespServer::Connection::Disconnect(ClientCloseReason reason) {
+  closing_ = true;
   stream_.StopReading();
-  Linger(end);
+  Linger(reason);
 }
 
-bool RespServer::Connection::Newcomer() const {
-  return !asked() && reader_.between_commands() && server_.loop_.Now() - since_ < resp::kFirstCommand;
+bool RespServer::Connection::JustAccepted() const {
+  return !has_asked() && reader_.between_commands() &&
+         server_.loop_.Now() - accepted_at_ < resp::kFirstCommandGrace;
 }
 
-void RespServer::Connection::Refuse(RefusalPace pace) {
+void RespServer::Connection::Reject(RejectMode mode) {
   if (lingering_) return;
-  const bool last = pace == RefusalPace::kLastCall;
-  if (leaving_) {  // its last reply is not taken
-    if (last) Linger(linger_end_);
+  const bool close_all = mode == RejectMode::kCloseAll;
+  if (closing_) {  // its last replies are not wholly written yet
+    if (close_all) Linger(linger_reason_);
     return;
   }
-  const bool heard = pace != RefusalPace::kReadFirst && asked();
-  if (!last && !heard && unread()) return;
-  if (!last && Newcomer()) return;
-  if (!reader_.between_commands()) return Leave("-BUSY\r\n", ClientEnd::kRefused);
-  leaving_ = true;
-  linger_end_ = ClientEnd::kStopping;
+  const bool read_no_more = mode != RejectMode::kReadPending && has_asked();
+  if (!close_all && !read_no_more && has_unread()) return;
+  if (!close_all && JustAccepted()) return;
+  if (!reader_.between_commands()) return CloseAfterReply("-BUSY\r\n", ClientCloseReason::kRejected);
+  closing_ = true;
+  linger_reason_ = ClientCloseReason::kStopping;
   stream_.StopReading();
   Flush();
 }
 
-std::optional<int> RespServer::Connection::GivesWay(Micros now) const {
+// 0: lingering. 1: idle after an error reply. 2: no command yet, though accepted a while ago. 3: stalled
+// within a command. 4: idle after another reply. 5: just accepted.
+std::optional<int> RespServer::Connection::EvictionRank(Micros now) const {
   if (lingering_) return 0;
-  if (!OwesNothing()) return std::nullopt;
-  const bool moving = now - quiet_since_ < resp::kGivesWay;
-  if (!reader_.between_commands()) return moving ? std::nullopt : std::optional(3);
-  if (asked()) return turned_away_ ? 1 : 4;
-  return now - quiet_since_ < resp::kNewcomer ? 5 : 2;
+  if (!NothingPending()) return std::nullopt;
+  const bool active = now - last_activity_at_ < resp::kEvictStalledAfter;
+  if (!reader_.between_commands()) return active ? std::nullopt : std::optional(3);
+  if (has_asked()) return last_reply_was_error_ ? 1 : 4;
+  return now - last_activity_at_ < resp::kNewClientGrace ? 5 : 2;
 }
 
-void RespServer::Connection::Sweep(Micros now, bool room_wanted) {
-  const Micros quiet = now - quiet_since_;
+void RespServer::Connection::CloseIfOverdue(Micros now, bool slots_wanted) {
+  const Micros inactive = now - last_activity_at_;
   if (lingering_) {
-    if (quiet < (linger_end_ == ClientEnd::kTurnedAway ? resp::kLinger : resp::kDepart)) return;
-    DiscardInput();  // a node that was held up has not read it yet
-    server_.Drop(id_, linger_end_);
+    if (inactive < (linger_reason_ == ClientCloseReason::kErrorReply ? resp::kLingerTimeout
+                                                                     : resp::kDisconnectLingerTimeout)) {
+      return;
+    }
+    DiscardInput();  // after a stall, what has arrived is not read yet
+    server_.CloseConnection(id_, linger_reason_);
   } else if (stream_.unwritten() > 0) {
-    if (quiet >= resp::kUntaken) server_.Drop(id_, ClientEnd::kUntaken);
-  } else if (!OwesNothing() || leaving_) {
-    return;  // the node's own duty
+    if (inactive >= resp::kWriteTimeout) server_.CloseConnection(id_, ClientCloseReason::kRepliesUnread);
+  } else if (!NothingPending() || closing_) {
+    return;  // the node still has to reply
   } else if (!reader_.between_commands()) {
-    const bool late = quiet >= resp::kStalled || now - command_since_ >= resp::kCommand;
-    if (late && !unread()) Leave("-ERR the command did not end in time\r\n", ClientEnd::kTurnedAway);
-  } else if (quiet >= (asked() ? resp::kQuiet : resp::kSilent) && (room_wanted || !asked()) && !unread()) {
-    Depart(asked() ? ClientEnd::kQuiet : ClientEnd::kSilent);
+    const bool late = inactive >= resp::kReadTimeout || now - command_started_at_ >= resp::kCommandTimeout;
+    if (late && !has_unread())
+      CloseAfterReply("-ERR the command did not end in time\r\n", ClientCloseReason::kErrorReply);
+  } else if (inactive >= (has_asked() ? resp::kIdleTimeout : resp::kFirstByteTimeout) &&
+             (slots_wanted || !has_asked()) && !has_unread()) {
+    Disconnect(has_asked() ? ClientCloseReason::kIdle : ClientCloseReason::kNoCommand);
   }
 }
 
@@ -90,110 +98,111 @@
 }
 
 void RespServer::Connection::OnBytes(std::string_view bytes) {
-  if (buried_) return;
-  if (lingering_) {  // so that the last reply is not lost to a reset
-    discarded_ += bytes.size();
-    if (discarded_ > resp::kMostDiscarded) stream_.StopReading();
+  if (detached_) return;
+  if (lingering_) {  // dropped: with unread bytes a close would be a reset and lose the last reply
+    discarded_bytes_ += bytes.size();
+    if (discarded_bytes_ > resp::kMaxDiscardedBytes) stream_.StopReading();
     return;
   }
-  if (leaving_ || !server_.handler_.May(Action::kReadCommand)) return;
-  quiet_since_ = server_.loop_.Now();
-  if (reader_.between_commands() && backlog_.empty()) command_since_ = quiet_since_;
+  if (closing_ || !server_.handler_.May(Action::kReadCommand)) return;
+  last_activity_at_ = server_.loop_.Now();
+  if (reader_.between_commands() && backlog_.empty()) command_started_at_ = last_activity_at_;
   backlog_.append(bytes);
-  Follow();
+  ProcessBacklog();
 }
 
 void RespServer::Connection::OnEnd(int error) {
-  const ClientEnd end = error == UV_EOF ? ClientEnd::kLeft : ClientEnd::kBroke;
-  server_.Drop(id_, lingering_ ? linger_end_ : end);
+  const ClientCloseReason reason =
+      error == UV_EOF ? ClientCloseReason::kClientClosed : ClientCloseReason::kConnectionBroken;
+  server_.CloseConnection(id_, lingering_ ? linger_reason_ : reason);
 }
 
 void RespServer::Connection::OnDrained() {
-  if (buried_ || lingering_) return;
-  if (leaving_) return Flush();
-  Follow();
+  if (detached_ || lingering_) return;
+  if (closing_) return Flush();
+  ProcessBacklog();
 }
 
-// Reads commands while their replies find room.
-void RespServer::Connection::Follow() {
+void RespServer::Connection::ProcessBacklog() {
   std::string_view rest = backlog_;
-  while (!rest.empty() && !Congested()) {
+  while (!rest.empty() && !RepliesAtLimit()) {
     const RespReader::Status status = reader_.Next(rest);
     if (status == RespReader::Status::kNeedsMore) break;
-    if (status == RespReader::Status::kBroken) {
+    if (status == RespReader::Status::kMalformed) {
       backlog_.clear();
-      return Leave(fmt::format("-ERR {}\r\n", reader_.trouble()), ClientEnd::kTurnedAway);
+      return CloseAfterReply(fmt::format("-ERR {}\r\n", reader_.error()), ClientCloseReason::kErrorReply);
     }
     ++last_command_;
     replies_.emplace_back();
     server_.handler_.Did(Action::kReadCommand);
-    Run(reader_.command());
-    command_since_ = server_.loop_.Now();
+    Execute(reader_.command());
+    command_started_at_ = server_.loop_.Now();
   }
   backlog_.erase(0, backlog_.size() - rest.size());
   if (backlog_.empty()) backlog_.shrink_to_fit();
-  CountUnread(backlog_.size() + reader_.held());
-  if (server_.unread_bytes_ > server_.limits_.unread_bytes && unread_ > 0) {
-    return Leave("-ERR too much is being sent at once\r\n", ClientEnd::kTurnedAway);
+  SetUnprocessedBytes(backlog_.size() + reader_.buffered_bytes());
+  if (server_.unprocessed_bytes_ > server_.limits_.unprocessed_bytes && unprocessed_bytes_ > 0) {
+    return CloseAfterReply("-ERR too much is being sent at once\r\n", ClientCloseReason::kErrorReply);
   }
-  Pace();
+  StartOrStopReading();
   Flush();
 }
 
-// After what was asked before is answered, this is its last reply.
-void RespServer::Connection::Leave(std::string last_reply, ClientEnd end) {
-  leaving_ = true;
-  linger_end_ = end;
+void RespServer::Connection::CloseAfterReply(std::string last_reply, ClientCloseReason reason) {
+  closing_ = true;
+  linger_reason_ = reason;
   stream_.StopReading();
-  CountUnread(0);
+  SetUnprocessedBytes(0);
   ++last_command_;
   replies_.emplace_back(std::move(last_reply));
   Flush();
 }
 
-void RespServer::Connection::Linger(ClientEnd end) {
+void RespServer::Connection::Linger(ClientCloseReason reason) {
   lingering_ = true;
-  linger_end_ = end;
-  quiet_since_ = server_.loop_.Now();
-  if (stream_.HalfClose() != 0 || stream_.StartReading() != 0) server_.Drop(id_, ClientEnd::kBroke);
+  linger_reason_ = reason;
+  last_activity_at_ = server_.loop_.Now();
+  if (stream_.HalfClose() != 0 || stream_.StartReading() != 0)
+    server_.CloseConnection(id_, ClientCloseReason::kConnectionBroken);
 }
 
-void RespServer::Connection::CountUnread(std::size_t bytes) {
-  server_.unread_bytes_ += bytes;
-  server_.unread_bytes_ -= std::exchange(unread_, bytes);
+void RespServer::Connection::SetUnprocessedBytes(std::size_t bytes) {
+  server_.unprocessed_bytes_ += bytes;
+  server_.unprocessed_bytes_ -= std::exchange(unprocessed_bytes_, bytes);
 }
 
-void RespServer::Connection::Run(const std::vector<std::string>& command) {
-  if (resp::Is(command[0], "PING")) {
+void RespServer::Connection::Execute(const std::vector<std::string>& command) {
+  if (resp::EqualsIgnoringCase(command[0], "PING")) {
     replies_.back() = !server_.ready_       ? "-ERR draining\r\n"
                       : command.size() > 2  ? "-ERR PING takes at most one word\r\n"
                       : command.size() == 2 ? fmt::format("${}\r\n{}\r\n", command[1].size(), command[1])
                                             : "+PONG\r\n";
     return;
   }
-  if (!resp::Is(command[0], "ENQUEUE")) {
+  if (!resp::EqualsIgnoringCase(command[0], "ENQUEUE")) {
     replies_.back() = "-ERR unknown command\r\n";
     return;
   }
   Enqueue enqueue;
-  if (const std::string trouble = ParseEnqueue(command, enqueue); !trouble.empty()) {
-    replies_.back() = "-ERR " + trouble + "\r\n";
+  if (const std::string error = ParseEnqueue(command, enqueue); !error.empty()) {
+    replies_.back() = "-ERR " + error + "\r\n";
     return;
   }
-  enqueue.begun = command_since_;
+  enqueue.received_at = command_started_at_;
   server_.handler_.OnEnqueue(id_, last_command_, std::move(enqueue));
 }
 
-bool RespServer::Connection::Congested() const {
-  return leaving_ || stream_.unwritten() > resp::kMostUnwritten || replies_.size() > resp::kMostUnanswered;
+bool RespServer::Connection::RepliesAtLimit() const {
+  return closing_ || stream_.unwritten() > resp::kMaxUnwrittenBytes ||
+         replies_.size() > resp::kMaxPendingReplies;
 }
 
-// Reading stops while commands wait here: the sender's own buffers then hold it back.
-void RespServer::Connection::Pace() {
-  const bool want = !leaving_ && !Congested();
-  if (want == reading_) return;
-  reading_ = want;
-  if (want) {
+// Reading stops while the replies are at their limit: the client's send buffer fills up and slows it down.
+void RespServer::Connection::StartOrStopReading() {
+  const bool should_read = !closing_ && !RepliesAtLimit();
+  if (should_read == reading_) return;
+  reading_ = should_read;
+  if (should_read) {
     stream_.StartReading();
   } else {
     stream_.StopReading();
@@ -201,23 +210,24 @@
 }
 
 void RespServer::Connection::Flush() {
-  std::string out;
+  std::string text;
   while (!replies_.empty() && replies_.front()) {
-    turned_away_ = replies_.front()->starts_with("-ERR");
-    out += *replies_.front();
+    last_reply_was_error_ = replies_.front()->starts_with("-ERR");
+    text += *replies_.front();
     replies_.pop_front();
   }
-  quiet_since_ = server_.loop_.Now();
-  const bool out_was_empty = out.empty();
-  if (!out.empty() && stream_.Write(std::move(out)) != 0) return server_.Drop(id_, ClientEnd::kBroke);
-  if (leaving_ && !lingering_ && replies_.empty() && stream_.unwritten() == 0) return Linger(linger_end_);
-  if (server_.departing_ && !leaving_ && !out_was_empty && Quiet()) return Depart();
-  if (!leaving_ && !reading_ && !Congested()) Resume();
-}
-
-void RespServer::Connection::Resume() {
-  Pace();
-  if (!backlog_.empty()) Follow();
+  last_activity_at_ = server_.loop_.Now();
+  const bool nothing_to_write = text.empty();
+  if (!text.empty() && stream_.Write(std::move(text)) != 0)
+    return server_.CloseConnection(id_, ClientCloseReason::kConnectionBroken);
+  if (closing_ && !lingering_ && replies_.empty() && stream_.unwritten() == 0) return Linger(linger_reason_);
+  if (server_.disconnecting_ && !closing_ && !nothing_to_write && Idle()) return Disconnect();
+  if (!closing_ && !reading_ && !RepliesAtLimit()) ResumeReading();
+}
+
+void RespServer::Connection::ResumeReading() {
+  StartOrStopReading();
+  if (!backlog_.empty()) ProcessBacklog();
 }
 
 }  // namespace indigosaddle::net
--- a/src/net/resp_connection.h
+++ b/src/net/resp_connection.h
@@ -1,5 +1,6 @@
-// One connection of a client, a part of RespServer (resp_server.cpp): reads commands, keeps replies in order,
-// and ends in one of the ways of ClientEnd. Every state has its end (docs/architecture.md).
+// One connection of a client, a part of RespServer (resp_server.cpp): reads commands, writes the replies in
+// order, and ends for one of the reasons of ClientCloseReason. Each of its states is bounded in time
+// (docs/architecture.md).
 #pragma once
 
 #include <deque>
@@ -17,34 +18,42 @@
  public:
   Connection(RespServer& server, std::uint64_t id);
 
-  int Begin(uv_os_sock_t descriptor);  // owned from here on
-  void Bury();                         // what still comes before it is destroyed counts for nothing
+  // Takes over the descriptor of an accepted connection. Returns 0, or a negative libuv error code.
+  int Begin(uv_os_sock_t descriptor);
+  // Ignores whatever still arrives before this is destroyed.
+  void Detach();
 
   std::uint64_t id() const { return id_; }
-  Micros quiet_since() const { return quiet_since_; }
-  Micros since() const { return since_; }
+  // Time of the latest byte or reply.
+  Micros last_activity_at() const { return last_activity_at_; }
+  Micros accepted_at() const { return accepted_at_; }
+  // Number of commands received.
   std::uint64_t commands() const { return last_command_; }
-  bool asked() const { return last_command_ > 0; }
-  bool unread() const { return stream_.unread() > 0; }
-  bool Gone() const { return stream_.has_unread_end(); }
-  // It has its end: nothing is read from it any more but to be dropped.
+  bool has_asked() const { return last_command_ > 0; }
+  bool has_unread() const { return stream_.unread() > 0; }
+  bool ClosedByClient() const { return stream_.has_unread_end(); }
+  // Its end was sent: what still arrives is read and dropped.
   bool lingering() const { return lingering_; }
-  bool Quiet() const;
+  // Between two commands, with no reply pending and nothing unread.
+  bool Idle() const;
 
-  // The node closes it between requests. Its end goes ahead of the close: what the client has sent meanwhile
-  // is read and dropped, so that it finds an orderly end and no reset that could cost it its last reply.
-  void Depart(ClientEnd end = ClientEnd::kStopping);
-  // The node takes nothing on any more: see RespServer::Refuse.
-  void Refuse(RefusalPace pace);
-  // It has come just now and has not asked yet.
-  bool Newcomer() const;
-  // Reads and drops what has come, so that a close finds nothing unread.
+  // Closes it between two commands. The sending direction is ended first, and what the client has sent
+  // meanwhile is read and dropped: the client gets an orderly end, and not a reset that could destroy its
+  // last reply.
+  void Disconnect(ClientCloseReason reason = ClientCloseReason::kStopping);
+  // See RespServer::RejectClients.
+  void Reject(RejectMode mode);
+  // Accepted a short while ago, and has not sent anything yet.
+  bool JustAccepted() const;
+  // Reads and drops what has arrived, so that a close finds nothing unread.
   void DiscardInput() { stream_.DiscardInput(); }
 
-  // How readily it gives way to a new client, most readily first; none: not at all.
-  std::optional<int> GivesWay(Micros now) const;
-  // Ends what has lasted too long in its state. May destroy nothing but itself.
-  void Sweep(Micros now, bool room_wanted);
+  // How early it is evicted for a new client: the lowest rank first. Empty: it must not be evicted.
+  std::optional<int> EvictionRank(Micros now) const;
+  // Ends it if it has stayed too long in its state. `slots_wanted`: idle connections are closed too. Destroys
+  // nothing but this.
+  void CloseIfOverdue(Micros now, bool slots_wanted);
+  // Answers the command with this number.
   void Reply(std::uint64_t command, std::string line);
 
  private:
@@ -52,30 +61,34 @@
   void OnEnd(int error) override;
   void OnDrained() override;
 
-  void Follow();
-  void Run(const std::vector<std::string>& command);
-  void Leave(std::string last_reply, ClientEnd end);
-  void Linger(ClientEnd end);
-  void CountUnread(std::size_t bytes);
-  bool OwesNothing() const { return replies_.empty() && backlog_.empty() && stream_.unwritten() == 0; }
-  bool Congested() const;
-  void Pace();
+  // Executes the commands in the backlog as long as the pending replies stay within their limits.
+  void ProcessBacklog();
+  void Execute(const std::vector<std::string>& command);
+  // Reads no more, and closes after the pending replies and this one.
+  void CloseAfterReply(std::string last_reply, ClientCloseReason reason);
+  // Ends the sending direction and waits for the client to close.
+  void Linger(ClientCloseReason reason);
+  void SetUnprocessedBytes(std::size_t bytes);
+  bool NothingPending() const { return replies_.empty() && backlog_.empty() && stream_.unwritten() == 0; }
+  bool RepliesAtLimit() const;
+  void StartOrStopReading();
+  // Writes the replies that are next in order.
   void Flush();
-  void Resume();
+  void ResumeReading();
 
   RespServer& server_;
   const std::uint64_t id_;
   Stream stream_;
   RespReader reader_;
-  std::string backlog_;                             // read, not yet followed
+  std::string backlog_;                             // bytes that were read, but not processed yet
   std::deque<std::optional<std::string>> replies_;  // in the order asked; the last is for last_command_
   std::uint64_t last_command_ = 0;
-  const Micros since_;                     // accepted
-  Micros quiet_since_, command_since_{0};  // latest byte or reply; first byte of the present command
-  std::size_t unread_ = 0, discarded_ = 0;
-  bool turned_away_ = false;  // by the latest reply: an error
-  ClientEnd linger_end_ = ClientEnd::kTurnedAway;
-  bool reading_ = true, leaving_ = false, lingering_ = false, buried_ = false;
+  const Micros accepted_at_;
+  Micros last_activity_at_, command_started_at_{0};  // latest byte or reply; present command's first byte
+  std::size_t unprocessed_bytes_ = 0, discarded_bytes_ = 0;
+  bool last_reply_was_error_ = false;
+  ClientCloseReason linger_reason_ = ClientCloseReason::kErrorReply;
+  bool reading_ = true, closing_ = false, lingering_ = false, detached_ = false;
 };
 
 }  // namespace indigosaddle::net
--- a/src/net/resp_limits.h
+++ b/src/net/resp_limits.h
@@ -1,4 +1,4 @@
-// How long a client's connection may stay in each of its states, and how much it may hold.
+// Limits of a client's connection: how long it may stay in each state, and how much it may hold.
 #pragma once
 
 #include <algorithm>
@@ -12,26 +12,31 @@
 
 namespace indigosaddle::net::resp {
 
-constexpr std::size_t kMostUnwritten =
-    std::size_t{64} * 1024;                   // of replies: a slow reader is read no further
-constexpr std::size_t kMostUnanswered = 256;  // commands of one connection
+// Bytes of replies that are not written yet. Above this, no further commands are read.
+constexpr std::size_t kMaxUnwrittenBytes = std::size_t{64} * 1024;
+constexpr std::size_t kMaxPendingReplies = 256;  // commands of one connection without a reply
 
-// Clients wait 400 ms for an answer.
-constexpr Micros kSilent = std::chrono::seconds(2);  // since it came, with no byte
-// Between commands, where a quarter of the places is taken: clients that ask once and stay hold a share that
-// others wait for.
-constexpr Micros kQuiet = std::chrono::milliseconds(250);
-constexpr Micros kStalled = std::chrono::milliseconds(1500);  // within a command, with no further byte
-constexpr Micros kCommand = std::chrono::milliseconds(2500);  // of one command, from its first byte
-constexpr Micros kUntaken = std::chrono::seconds(3);          // replies that the client does not read
-constexpr Micros kLinger = std::chrono::milliseconds(500);    // after its last reply, for the client to leave
-constexpr Micros kDepart = std::chrono::milliseconds(200);    // the same between requests
-constexpr std::size_t kMostDiscarded = std::size_t{1024} * 1024;  // bytes that come meanwhile
-constexpr Micros kGivesWay = std::chrono::milliseconds(250);      // a stalled command, to a new client
-constexpr Micros kFirstCommand = std::chrono::milliseconds(200);  // as the node stops, for who has just come
-constexpr Micros kNewcomer = std::chrono::milliseconds(100);      // who came just now is about to ask
+// The times below take into account that clients wait 400 ms for a reply.
+constexpr Micros kFirstByteTimeout = std::chrono::seconds(2);  // from accept
+// Between two commands. Applies only while over a quarter of the connections is in use: clients that ask once
+// and stay connected hold slots that others wait for.
+constexpr Micros kIdleTimeout = std::chrono::milliseconds(250);
+constexpr Micros kReadTimeout = std::chrono::milliseconds(1500);     // within a command, for the next byte
+constexpr Micros kCommandTimeout = std::chrono::milliseconds(2500);  // for a command, from its first byte
+constexpr Micros kWriteTimeout = std::chrono::seconds(3);            // for the client to read replies
+// After the last reply, for the client to close; and the same where the node closes between two commands.
+constexpr Micros kLingerTimeout = std::chrono::milliseconds(500);
+constexpr Micros kDisconnectLingerTimeout = std::chrono::milliseconds(200);
+constexpr std::size_t kMaxDiscardedBytes = std::size_t{1024} * 1024;  // received while lingering
+// A client with no byte for this long within a command may be evicted for a new client.
+constexpr Micros kEvictStalledAfter = std::chrono::milliseconds(250);
+// While the node stops, a client accepted less than this ago may still send its first command.
+constexpr Micros kFirstCommandGrace = std::chrono::milliseconds(200);
+// A client accepted less than this ago is evicted last, as it is about to send a command.
+constexpr Micros kNewClientGrace = std::chrono::milliseconds(100);
 
-inline bool Is(const std::string& word, std::string_view upper) {
+// Whether the word is `upper` in upper, lower or mixed case.
+inline bool EqualsIgnoringCase(const std::string& word, std::string_view upper) {
   return std::equal(word.begin(), word.end(), upper.begin(), upper.end(),
                     [](unsigned char a, char b) { return std::toupper(a) == b; });
 }
--- a/src/net/resp_server.cpp
+++ b/src/net/resp_server.cpp
@@ -12,23 +12,23 @@
 
 constexpr int kBacklog = 511;
 
-constexpr int kAtOnce = 64;  // clients admitted before others are read
-constexpr Micros kAdmitAgain = std::chrono::milliseconds(20);
-constexpr Micros kSweepEvery = std::chrono::milliseconds(100);
+constexpr int kMaxAcceptsPerPass = 64;  // clients accepted before data of others is read
+constexpr Micros kAcceptRetryDelay = std::chrono::milliseconds(20);
+constexpr Micros kSweepInterval = std::chrono::milliseconds(100);
 
 }  // namespace
 
-std::string_view NameOf(ClientEnd end) {
-  switch (end) {
-    case ClientEnd::kLeft: return "left";
-    case ClientEnd::kBroke: return "broke";
-    case ClientEnd::kSilent: return "silent";
-    case ClientEnd::kQuiet: return "quiet";
-    case ClientEnd::kUntaken: return "untaken";
-    case ClientEnd::kTurnedAway: return "turned-away";
-    case ClientEnd::kGaveWay: return "gave-way";
-    case ClientEnd::kStopping: return "stopping";
-    case ClientEnd::kRefused: return "refused";
+std::string_view NameOf(ClientCloseReason reason) {
+  switch (reason) {
+    case ClientCloseReason::kClientClosed: return "left";
+    case ClientCloseReason::kConnectionBroken: return "broke";
+    case ClientCloseReason::kNoCommand: return "silent";
+    case ClientCloseReason::kIdle: return "quiet";
+    case ClientCloseReason::kRepliesUnread: return "untaken";
+    case ClientCloseReason::kErrorReply: return "turned-away";
+    case ClientCloseReason::kEvicted: return "gave-way";
+    case ClientCloseReason::kStopping: return "stopping";
+    case ClientCloseReason::kRejected: return "refused";
   }
   return "?";
 }
@@ -37,11 +37,11 @@
     : loop_(loop),
       handler_(handler),
       limits_(limits),
-      listener_(loop, [this] { Admit(); }),
-      bury_(loop, [this] { buried_.clear(); }),
-      admit_(loop, [this] { Admit(); }),
-      sweep_(loop, [this] { Sweep(); }) {
-  sweep_.Start(kSweepEvery);
+      listener_(loop, [this] { AcceptPending(); }),
+      deletion_timer_(loop, [this] { closed_.clear(); }),
+      accept_timer_(loop, [this] { AcceptPending(); }),
+      sweep_timer_(loop, [this] { CloseOverdue(); }) {
+  sweep_timer_.Start(kSweepInterval);
 }
 
 RespServer::~RespServer() = default;
@@ -51,98 +51,100 @@
 bool RespServer::StopListening() {
   if (!listener_.open()) return true;
   listener_.RefuseNew();
-  waiting_ = false;
-  while (AdmitOne()) {
+  accept_postponed_ = false;
+  while (AcceptOne()) {
   }
-  if (waiting_)
-    return false;  // accept fails for a moment, or there is no room: closed now, they would be reset
+  if (accept_postponed_)
+    return false;  // some could not be accepted for now, and closing the socket would reset them
   listener_.Close();
   return true;
 }
 
-// The first who waits is sure to be there; for those behind, room is made when the loop says that they wait.
-void RespServer::Admit() {
-  waiting_ = false;
+// The first pending client is certain to be there. For the others a slot is freed only when the loop reports
+// that they are pending.
+void RespServer::AcceptPending() {
+  accept_postponed_ = false;
   listener_.Resume();
-  for (int admitted = 0; admitted < kAtOnce; ++admitted) {
-    if (admitted > 0 && connections_.size() >= limits_.connections) return;
-    if (!AdmitOne()) return;
+  for (int accepted = 0; accepted < kMaxAcceptsPerPass; ++accepted) {
+    if (accepted > 0 && connections_.size() >= limits_.connections) return;
+    if (!AcceptOne()) return;
   }
 }
 
-// False where nobody waits, or there is no room and none can be made; then who waits is taken later.
-bool RespServer::AdmitOne() {
+// Returns false if no client is pending, or if there is no free slot and none can be freed; in that case
+// pending clients are accepted later.
+bool RespServer::AcceptOne() {
   if (!listener_.open() || !handler_.May(Action::kAcceptClient)) return false;
-  if (connections_.size() >= limits_.connections && !MakeRoom()) return AdmitLater(), false;
+  if (connections_.size() >= limits_.connections && !EvictOne()) return AcceptLater(), false;
   int client = listener_.Accept();
-  // The system has no descriptor left, whatever the limits say: one of a client that gives way is free then.
-  if ((client == UV_EMFILE || client == UV_ENFILE) && MakeRoom()) client = listener_.Accept();
+  // The system can run out of descriptors before the limits are reached. Evicting a client frees one.
+  if ((client == UV_EMFILE || client == UV_ENFILE) && EvictOne()) client = listener_.Accept();
   if (client == UV_EAGAIN) return false;
-  if (client < 0) return AdmitLater(), false;
+  if (client < 0) return AcceptLater(), false;
   auto connection = std::make_unique<Connection>(*this, ++last_connection_);
   const int error = connection->Begin(client);
   const std::uint64_t id = connection->id();
   connections_.emplace(id, std::move(connection));
   handler_.Did(Action::kAcceptClient);
-  if (error != 0) Drop(id, ClientEnd::kBroke);
+  if (error != 0) CloseConnection(id, ClientCloseReason::kConnectionBroken);
   return true;
 }
 
-void RespServer::AdmitLater() {
-  waiting_ = true;
+void RespServer::AcceptLater() {
+  accept_postponed_ = true;
   listener_.Pause();
-  admit_.Start(kAdmitAgain);
+  accept_timer_.Start(kAcceptRetryDelay);
 }
 
-// Closes who gives way most readily, the longest quiet of these, at once: its descriptor is needed before
-// this pass of the loop is over. False where nobody does.
-bool RespServer::MakeRoom() {
+// Closes the client with the lowest eviction rank, of several the one inactive for longest. Closes it at
+// once, as its descriptor is needed in this pass of the loop. Returns false if no client may be evicted.
+bool RespServer::EvictOne() {
   if (!handler_.May(Action::kCloseClient)) return false;
   const Micros now = loop_.Now();
-  std::set<std::uint64_t> busy;  // looked as if they gave way, but have sent something
+  std::set<std::uint64_t> with_unread_bytes;  // not to be evicted
   while (true) {
     auto best = connections_.end();
     std::pair<int, Micros> best_rank;
     for (auto it = connections_.begin(); it != connections_.end(); ++it) {
-      const std::optional<int> way = it->second->GivesWay(now);
-      if (!way || busy.contains(it->first)) continue;
-      const std::pair rank(*way, it->second->quiet_since());
+      const std::optional<int> eviction_rank = it->second->EvictionRank(now);
+      if (!eviction_rank || with_unread_bytes.contains(it->first)) continue;
+      const std::pair rank(*eviction_rank, it->second->last_activity_at());
       if (best == connections_.end() || rank < best_rank) best = it, best_rank = rank;
     }
     if (best == connections_.end()) return false;
     const std::uint64_t id = best->first;
-    if (best->second->unread()) {  // closed over it, its last reply might be lost; if it lingers, as well
-      busy.insert(id);
+    if (best->second->has_unread()) {  // a close would reset it, and its last reply might be lost
+      with_unread_bytes.insert(id);
       continue;
     }
     handler_.Did(Action::kCloseClient);
-    best->second->Bury();
+    best->second->Detach();
     const std::uint64_t commands = best->second->commands();
-    const Micros lasted = now - best->second->since();
+    const Micros lasted = now - best->second->accepted_at();
     connections_.erase(best);
-    handler_.OnClientGone(id, ClientEnd::kGaveWay, commands, lasted);
+    handler_.OnClientClosed(id, ClientCloseReason::kEvicted, commands, lasted);
     return true;
   }
 }
 
-void RespServer::Sweep() {
-  sweep_.Start(kSweepEvery);
+void RespServer::CloseOverdue() {
+  sweep_timer_.Start(kSweepInterval);
   if (!handler_.May(Action::kCloseClient)) return;
   const Micros now = loop_.Now();
   std::vector<std::uint64_t> all;
   all.reserve(connections_.size());
   for (const auto& [id, connection] : connections_) all.push_back(id);
-  // Those that linger are on their way out: they ask for no more room.
+  // Lingering connections are closed soon, so they do not count as using a slot.
   auto staying =
       static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(),
                                              [](const auto& entry) { return !entry.second->lingering(); }));
   for (std::uint64_t id : all) {
     const auto it = connections_.find(id);
     if (it == connections_.end()) continue;
-    const bool stayed = !it->second->lingering();
-    it->second->Sweep(now, 4 * staying > limits_.connections);
+    const bool was_staying = !it->second->lingering();
+    it->second->CloseIfOverdue(now, 4 * staying > limits_.connections);
     const auto after = connections_.find(id);
-    if (stayed && (after == connections_.end() || after->second->lingering())) --staying;
+    if (was_staying && (after == connections_.end() || after->second->lingering())) --staying;
   }
 }
 
@@ -152,28 +154,29 @@
   }
 }
 
-bool RespServer::Gone(std::uint64_t connection) const {
+bool RespServer::ClosedByClient(std::uint64_t connection) const {
   const auto it = connections_.find(connection);
-  return it == connections_.end() || it->second->Gone();
+  return it == connections_.end() || it->second->ClosedByClient();
 }
 
-bool RespServer::CloseQuiet(bool all) {
-  departing_ = true;
-  std::vector<std::uint64_t> quiet;
+bool RespServer::DisconnectIdle(bool all) {
+  disconnecting_ = true;
+  std::vector<std::uint64_t> idle;
   for (const auto& [id, connection] : connections_) {
-    if (connection->Quiet() && (connection->asked() || (all && !connection->Newcomer()))) quiet.push_back(id);
+    if (connection->Idle() && (connection->has_asked() || (all && !connection->JustAccepted())))
+      idle.push_back(id);
   }
-  for (std::uint64_t id : quiet) connections_.at(id)->Depart();
+  for (std::uint64_t id : idle) connections_.at(id)->Disconnect();
   return connections_.empty();
 }
 
-bool RespServer::Refuse(RefusalPace pace) {
-  departing_ = true;
+bool RespServer::RejectClients(RejectMode mode) {
+  disconnecting_ = true;
   std::vector<std::uint64_t> open;
   for (const auto& [id, connection] : connections_)
     if (!connection->lingering()) open.push_back(id);
   for (std::uint64_t id : open) {
-    if (const auto it = connections_.find(id); it != connections_.end()) it->second->Refuse(pace);
+    if (const auto it = connections_.find(id); it != connections_.end()) it->second->Reject(mode);
   }
   return std::all_of(connections_.begin(), connections_.end(),
                      [](const auto& entry) { return entry.second->lingering(); });
@@ -181,20 +184,21 @@
 
 void RespServer::Close() {
   listener_.Close();
-  admit_.Stop(), sweep_.Stop();
+  accept_timer_.Stop();
+  sweep_timer_.Stop();
   for (const auto& [id, connection] : connections_) connection->DiscardInput();
   connections_.clear();
 }
 
-void RespServer::Drop(std::uint64_t connection, ClientEnd end) {
+void RespServer::CloseConnection(std::uint64_t connection, ClientCloseReason reason) {
   auto node = connections_.extract(connection);
   if (node.empty()) return;
-  node.mapped()->Bury();
-  buried_.push_back(std::move(node.mapped()));
-  bury_.Start(Micros(0));
-  const Connection& gone = *buried_.back();
-  handler_.OnClientGone(connection, end, gone.commands(), loop_.Now() - gone.since());
-  if (waiting_) admit_.Start(Micros(0));
+  node.mapped()->Detach();
+  closed_.push_back(std::move(node.mapped()));
+  deletion_timer_.Start(Micros(0));
+  const Connection& closed = *closed_.back();
+  handler_.OnClientClosed(connection, reason, closed.commands(), loop_.Now() - closed.accepted_at());
+  if (accept_postponed_) accept_timer_.Start(Micros(0));
 }
 
 }  // namespace indigosaddle::net
--- a/src/net/resp_server.h
+++ b/src/net/resp_server.h
@@ -1,4 +1,5 @@
-// Where clients hand messages in: accepts connections, reads commands, writes replies in the order asked.
+// The server that clients enqueue messages at: accepts connections, reads commands, and writes the replies in
+// the order of the commands.
 #pragma once
 
 #include <cstdint>
@@ -16,46 +17,50 @@
 
 namespace indigosaddle::net {
 
-// Every way in which a client's connection can end; docs/architecture.md has the table of states.
-enum class ClientEnd : std::uint8_t {
-  kLeft,        // the client closed it
-  kBroke,       // a reset, or a write that failed
-  kSilent,      // nothing was sent on it in time
-  kQuiet,       // between commands, while its place was wanted
-  kUntaken,     // replies that the client did not read
-  kTurnedAway,  // after an error that its stream can't be followed past
-  kGaveWay,     // its place went to a new client
-  kStopping,    // the node stops
-  kRefused,     // within a command, as the node stops
+// Why a client's connection ended: all possible reasons. docs/architecture.md has the table of states.
+enum class ClientCloseReason : std::uint8_t {
+  kClientClosed,      // the client closed it
+  kConnectionBroken,  // a reset, or a failed write
+  kNoCommand,         // no command came in time after accept
+  kIdle,              // idle between two commands while slots were wanted
+  kRepliesUnread,     // the client did not read its replies in time
+  kErrorReply,        // an error after which the stream can't be read on
+  kEvicted,           // its slot went to a new client
+  kStopping,          // the node disconnects its clients
+  kRejected,          // intake ended within a command
 };
-constexpr std::size_t kClientEnds = static_cast<std::size_t>(ClientEnd::kRefused) + 1;
-std::string_view NameOf(ClientEnd end);
+constexpr std::size_t kClientCloseReasons = static_cast<std::size_t>(ClientCloseReason::kRejected) + 1;
+// The reason's name in the log and the status.
+std::string_view NameOf(ClientCloseReason reason);
 
-// How a node that takes nothing on any more ends its clients' connections.
-enum class RefusalPace : std::uint8_t {
-  kReadFirst,  // what lies unread is read and answered first, and who has just come may ask
-  kOutOfTime,  // the same for who has not asked yet; who has, and goes on sending, is read no further
-  kLastCall,   // everyone, whether or not replies are taken
+// How the connections of clients are ended once intake has ended.
+enum class RejectMode : std::uint8_t {
+  kReadPending,  // unread commands are read and answered first, and a client just accepted may send one
+  kStopReading,  // the same for clients that have not sent a command yet; no others are read any more
+  kCloseAll,     // all connections end, whether or not their replies are read
 };
 
+// Owns the listening socket and the clients' connections.
 class RespServer {
  public:
+  // Executes the commands. Must outlive the server.
   class Handler {
    public:
     virtual ~Handler() = default;
-    // Must be answered by Reply, unless the connection goes first.
+    // Must be answered by Reply, unless the connection closes first.
     virtual void OnEnqueue(std::uint64_t connection, std::uint64_t command, Enqueue enqueue) = 0;
-    // `commands`: that it sent; `lasted`: since it was accepted.
-    virtual void OnClientGone(std::uint64_t connection, ClientEnd end, std::uint64_t commands,
-                              Micros lasted) = 0;
-    // Asked just before each admission, read and close; told as it is done.
+    // A connection ended. `commands`: number of its commands; `lasted`: time since it was accepted.
+    virtual void OnClientClosed(std::uint64_t connection, ClientCloseReason reason, std::uint64_t commands,
+                                Micros lasted) = 0;
+    // Whether the action is allowed now; asked just before each accept, read and close.
     virtual bool May(Action action) = 0;
+    // The action is being done.
     virtual void Did(Action action) = 0;
   };
 
   struct Limits {
     std::size_t connections = 0;
-    std::size_t unread_bytes = 0;  // of commands not yet followed, on all connections together
+    std::size_t unprocessed_bytes = 0;  // of commands not executed yet, on all connections together
   };
 
   RespServer(Loop& loop, Handler& handler, Limits limits);
@@ -63,47 +68,53 @@
   RespServer(const RespServer&) = delete;
   RespServer& operator=(const RespServer&) = delete;
 
-  int Listen(const std::string& address);  // a negative code where that fails
+  // Listens on "ip:port". Returns 0, or a negative libuv error code.
+  int Listen(const std::string& address);
   std::string address() const { return listener_.address(); }
-  // Who has connected by then is served still. False: some of them can't be accepted yet; to be called again.
+  // Stops listening. Clients that connected before this call are still served. Returns false if some of them
+  // can't be accepted yet: the call must then be repeated.
   bool StopListening();
-  void SetLimits(Limits limits) { limits_ = limits; }  // connections that stand are not cut
+  // Connections that are open already are not closed.
+  void SetLimits(Limits limits) { limits_ = limits; }
+  // Answers a command. Ignored if its connection is closed.
   void Reply(std::uint64_t connection, std::uint64_t command, std::string line);
-  bool Gone(std::uint64_t connection) const;  // closed by the client, read or not
-  // Closes connections that stand between requests and have nothing unread, and from then on each with its
-  // next reply; those that asked nothing yet only where `all`, and once they had time to. True when none is
-  // left.
-  bool CloseQuiet(bool all);
-  // Intake is over: each connection gets an answer to what it has sent whole, `-BUSY` where it is within a
-  // command, and its end. True when each has its end.
-  bool Refuse(RefusalPace pace);
-  // Closes the listener and every connection, with nothing unread on them. Nothing is told to the handler.
+  // Whether the client has closed the connection, even if that was not read yet.
+  bool ClosedByClient(std::uint64_t connection) const;
+  // Closes the connections that are idle between two commands, and from now on each other one after its next
+  // reply. Clients that have not sent a command yet are included only if `all`, and once they had time to.
+  // Returns true when no connection is left.
+  bool DisconnectIdle(bool all);
+  // Intake has ended: each client gets the answers to the commands that it has sent completely, `-BUSY` if it
+  // is within a command, and is disconnected. Returns true when all connections are closed or lingering.
+  bool RejectClients(RejectMode mode);
+  // Closes the listener and all connections, after reading what lies unread on them, so that none is reset.
+  // Nothing is reported to the handler.
   void Close();
   std::size_t connections() const { return connections_.size(); }
-  // While false, PING is answered with an error: a front that asks moves its clients elsewhere.
-  void SetReady(bool ready) { ready_ = ready, departing_ &= !ready; }
+  // While not ready, PING is answered with an error, so that a front moves its clients to other nodes.
+  void SetReady(bool ready) { ready_ = ready, disconnecting_ &= !ready; }
 
  private:
   class Connection;
 
-  void Admit();
-  bool AdmitOne();
-  void AdmitLater();
-  bool MakeRoom();
-  void Sweep();
-  void Drop(std::uint64_t connection, ClientEnd end);
+  void AcceptPending();
+  bool AcceptOne();
+  void AcceptLater();
+  bool EvictOne();
+  void CloseOverdue();
+  void CloseConnection(std::uint64_t connection, ClientCloseReason reason);
 
   Loop& loop_;
   Handler& handler_;
   Limits limits_;
-  std::size_t unread_bytes_ = 0;
+  std::size_t unprocessed_bytes_ = 0;
   ListenSocket listener_;
-  bool waiting_ = false;  // a client that there was no room for, or perhaps several
-  bool ready_ = true, departing_ = false;
+  bool accept_postponed_ = false;  // clients may be pending that could not be accepted
+  bool ready_ = true, disconnecting_ = false;
   std::uint64_t last_connection_ = 0;
   std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;
-  std::list<std::unique_ptr<Connection>> buried_;  // may still be in one of their callbacks
-  Timer bury_, admit_, sweep_;
+  std::list<std::unique_ptr<Connection>> closed_;  // deleted later: they may still be in a callback
+  Timer deletion_timer_, accept_timer_, sweep_timer_;
 };
 
 }  // namespace indigosaddle::net
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -62,8 +62,8 @@
 
   // What the sockets bring.
   void OnEnqueue(std::uint64_t connection, std::uint64_t command, net::Enqueue enqueue) override;
-  void OnClientGone(std::uint64_t connection, net::ClientEnd end, std::uint64_t commands,
-                    Micros lasted) override;
+  void OnClientClosed(std::uint64_t connection, net::ClientCloseReason end, std::uint64_t commands,
+                      Micros lasted) override;
   bool May(Action action) override;
   void Did(Action action) override;
   void OnMembers(net::MemberNews news) override;
@@ -225,7 +225,7 @@
   std::uint64_t passes_since_step_ = 0;  // of the loop, begun behind the first step of a stop in this phase
   Micros now_{0}, wake_at_{0};           // of the last turn; for the next, as the module asked
   std::array<std::uint64_t, static_cast<std::size_t>(state::kLastAttemptResult) + 1> endings_{};
-  std::array<std::uint64_t, net::kClientEnds> client_ends_{};
+  std::array<std::uint64_t, net::kClientCloseReasons> client_ends_{};
   std::uint64_t unsure_rules_ = 0;  // messages whose birth several rules may bind
   std::uint64_t taken_ = 0, busy_ = 0, failed_ = 0, delivered_ = 0, returned_ = 0, given_up_ = 0;
   Micros started_at_{0};
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -15,7 +15,7 @@
   if (!enqueue.tenant.empty() && !config_.tenants.contains(enqueue.tenant)) {
     return server_.Reply(connection, command, "-ERR unknown tenant\r\n");
   }
-  const EnqueueFacts hand_in{enqueue.begun, enqueue.time_left, enqueue.handed_in_before,
+  const EnqueueFacts hand_in{enqueue.received_at, enqueue.time_left, enqueue.enqueued_before,
                              !enqueue.idempotency_key.empty()};
   const ApplicableRules born = rules_.RulesFor(enqueue.message_class, hand_in);
   if (!born.sure) {
@@ -34,11 +34,12 @@
   message.body = std::move(enqueue.body);
   message.destination = enqueue.destination;
   message.rules = born.rules;
-  message.deadline = enqueue.begun + enqueue.time_left;
+  message.deadline = enqueue.received_at + enqueue.time_left;
   Push(std::move(event));
 }
 
-void Node::OnClientGone(std::uint64_t connection, net::ClientEnd end, std::uint64_t commands, Micros lasted) {
+void Node::OnClientClosed(std::uint64_t connection, net::ClientCloseReason end, std::uint64_t commands,
+                          Micros lasted) {
   ++client_ends_[static_cast<std::size_t>(end)];
   ++clients_ended_in_phase_;
   log_.Write(base::kClientEnded, connection, net::NameOf(end), commands, lasted);
--- a/src/node/node_figures.cpp
+++ b/src/node/node_figures.cpp
@@ -129,7 +129,7 @@
   log_.Write(base::kReport, taken_, busy_, failed_, state_.open(), state_.notices.size(),
              server_.connections(), pool_.connections(), pool_.opened(), state_.journal_size, calls,
              log_.dropped(), brain_->slow_start().recovering, brain_->slow_start().calls, WatchLosses(),
-             CountsByName<net::ClientEnd>(client_ends_), unsure_rules_);
+             CountsByName<net::ClientCloseReason>(client_ends_), unsure_rules_);
   ReportConnections();
   if (watcher_) log_.Write(base::kWatch, watcher_->messages(), watcher_->Text());
   report_timer_.Start(kReportEvery);
--- a/src/node/node_operations.cpp
+++ b/src/node/node_operations.cpp
@@ -156,7 +156,7 @@
 
 void Node::LetQuietGo() {
   if (lifecycle_.phase() != Phase::kQuiesced || !May(Action::kDisconnectClients)) return;
-  server_.CloseQuiet(false);
+  server_.DisconnectIdle(false);
   quiet_timer_.Start(kLetGoEvery);
 }
 
--- a/src/node/node_stop.cpp
+++ b/src/node/node_stop.cpp
@@ -83,7 +83,7 @@
 void Node::LeaveClients() {
   Did(Action::kDisconnectClients);
   const bool closed = lifecycle_.handing_over() && server_.StopListening();
-  const bool none_left = server_.CloseQuiet(lifecycle_.handing_over());
+  const bool none_left = server_.DisconnectIdle(lifecycle_.handing_over());
   if (closed && none_left && events_.empty()) lifecycle_.AllClientsDone(loop_.Now());
 }
 
@@ -98,9 +98,9 @@
   const bool out_of_time = heard && lifecycle_.MustClose(now);
   const bool last_call = heard && lifecycle_.MustEnd(now);
   const bool closed = server_.StopListening() || last_call;
-  const bool told = server_.Refuse(last_call     ? net::RefusalPace::kLastCall
-                                   : out_of_time ? net::RefusalPace::kOutOfTime
-                                                 : net::RefusalPace::kReadFirst);
+  const bool told = server_.RejectClients(last_call     ? net::RejectMode::kCloseAll
+                                          : out_of_time ? net::RejectMode::kStopReading
+                                                        : net::RejectMode::kReadPending);
   if (closed && told && events_.empty()) lifecycle_.AllClientsDone(loop_.Now());
 }
 
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -56,7 +56,7 @@
     if (message != nullptr) message->may_accept = may_take = may_take || May(Action::kAcceptMessage);
     Reduce(event);
     // A client that has closed meanwhile has withdrawn, though the loop has not read that yet.
-    if (message != nullptr && server_.Gone(message->client.connection)) {
+    if (message != nullptr && server_.ClosedByClient(message->client.connection)) {
       Reduce(state::ClientGone{message->client.connection});
     }
   }
--- a/tests/net_odd_command_test.cpp
+++ b/tests/net_odd_command_test.cpp
@@ -34,15 +34,15 @@
   for (const std::string mark : {"r", "again"}) {
     for (const std::string yes : {"1", "2", "true", "", " 1", "01", "-0"}) {
       EXPECT_EQ(Parse("c=a,d=1,dest=2," + mark + "=" + yes, e), "");
-      EXPECT_TRUE(e.handed_in_before) << mark << yes;
+      EXPECT_TRUE(e.enqueued_before) << mark << yes;
     }
     EXPECT_EQ(Parse("c=a,d=1,dest=2," + mark + "=0", e), "");
-    EXPECT_FALSE(e.handed_in_before) << mark;
+    EXPECT_FALSE(e.enqueued_before) << mark;
   }
   EXPECT_EQ(Parse("c=a,d=1,dest=2,r=1,again=0", e), "");
-  EXPECT_TRUE(e.handed_in_before);
+  EXPECT_TRUE(e.enqueued_before);
   EXPECT_EQ(Parse("c=a,d=1,dest=2", e), "");
-  EXPECT_FALSE(e.handed_in_before);
+  EXPECT_FALSE(e.enqueued_before);
 }
 
 // A key of zeros is none. An empty one was taken for that, and its messages went out of order.
--- a/tests/net_resp_test.cpp
+++ b/tests/net_resp_test.cpp
@@ -36,8 +36,8 @@
     while (!piece.empty()) {
       const Status status = reader.Next(piece);
       if (status == Status::kNeedsMore) break;
-      if (status == Status::kBroken) {
-        commands.push_back({"!", reader.trouble()});
+      if (status == Status::kMalformed) {
+        commands.push_back({"!", reader.error()});
         return commands;
       }
       commands.push_back(reader.command());
@@ -63,7 +63,7 @@
 }
 
 TEST(Resp, TheLargestBodyPassesAndOneByteMoreDoesNot) {
-  const std::string body(kMostBody, 'x');
+  const std::string body(kMaxBodyBytes, 'x');
   EXPECT_EQ(ReadAll({Command({"A", body})}).at(0).at(1), body);
   EXPECT_EQ(ReadAll({Command({"A", body + "x"})}).at(0).at(0), "!");
 }
--- a/tests/resp_server_endings_test.cpp
+++ b/tests/resp_server_endings_test.cpp
@@ -81,7 +81,7 @@
 
  private:
   void OnEnqueue(std::uint64_t, std::uint64_t, net::Enqueue) override {}
-  void OnClientGone(std::uint64_t, net::ClientEnd, std::uint64_t, Micros) override {}
+  void OnClientClosed(std::uint64_t, net::ClientCloseReason, std::uint64_t, Micros) override {}
   bool May(Action) override { return true; }
   void Did(Action) override {}
 };
@@ -180,7 +180,7 @@
   const Socket resting = Connect();
   ASSERT_TRUE(resting.Write(kPing));
   ASSERT_EQ(Next(resting), "+PONG\r\n");
-  server->CloseQuiet(false);  // and the loop does not turn
+  server->DisconnectIdle(false);  // and the loop does not turn
   char byte = 0;
   EXPECT_EQ(recv(resting.get(), &byte, 1, MSG_DONTWAIT), 0);
 }
@@ -191,7 +191,7 @@
   const Socket resting = Connect();
   ASSERT_TRUE(resting.Write(kPing));
   ASSERT_EQ(Next(resting), "+PONG\r\n");
-  server->CloseQuiet(false);
+  server->DisconnectIdle(false);
   ASSERT_EQ(Next(resting), "ended");
   std::this_thread::sleep_for(milliseconds(150));  // less than it may linger: then held up
   Step();
--- a/tests/resp_server_test.cpp
+++ b/tests/resp_server_test.cpp
@@ -38,7 +38,7 @@
 
  private:
   void OnEnqueue(std::uint64_t, std::uint64_t, net::Enqueue) override {}
-  void OnClientGone(std::uint64_t, net::ClientEnd, std::uint64_t, Micros) override {}
+  void OnClientClosed(std::uint64_t, net::ClientCloseReason, std::uint64_t, Micros) override {}
   bool May(Action) override { return true; }
   void Did(Action) override {}
 };
@@ -63,7 +63,7 @@
   const Socket client = Connect();
   ASSERT_TRUE(client.Write("*1\r\n$4\r\nPING\r\n"));
   ASSERT_EQ(ReadAfterSteps(client), "+PONG\r\n");
-  EXPECT_FALSE(server.CloseQuiet(false));
+  EXPECT_FALSE(server.DisconnectIdle(false));
   ASSERT_TRUE(client.Write("*1\r\n$4\r\nPING\r\n"));  // before the close is done
   for (int step = 0; step < 5; ++step) uv_run(loop.raw(), UV_RUN_NOWAIT);
   std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -83,7 +83,7 @@
   const Socket busy = Connect();
   ASSERT_TRUE(busy.Write("*1\r\n$4\r\n"));  // in the middle of a command
   for (int step = 0; step < 5; ++step) uv_run(loop.raw(), UV_RUN_NOWAIT);
-  EXPECT_FALSE(server.CloseQuiet(true));
+  EXPECT_FALSE(server.DisconnectIdle(true));
   ASSERT_TRUE(busy.Write("PING\r\n"));
   EXPECT_EQ(ReadAfterSteps(busy), "+PONG\r\n");
   EXPECT_EQ(ReadAfterSteps(busy), "ended");
