--- a/src/net/call_answer.cpp
+++ b/src/net/call_answer.cpp
@@ -1,128 +1,138 @@
-// What comes on a call's connection: whether it is an answer, is believed, and what follows of it. A part of
-// call_connection.h.
+// Processes what arrives on a call's connection: decides whether it is an answer and whether the answer is
+// accepted, and ends the call accordingly. A part of call_connection.h.
 #include "net/call_connection.h"
 
 namespace indigosaddle::net {
 namespace {
 
-bool IsRefusal(state::AttemptResult ending) {
-  return !state::MayHaveRun(state::MeaningOf(ending).result) && !state::MeaningOf(ending).message_done;
+bool IsRefusal(state::AttemptResult attempt_result) {
+  return !state::MayHaveRun(state::MeaningOf(attempt_result).result) &&
+         !state::MeaningOf(attempt_result).message_done;
 }
 
-// A 429 tells a wait, whether or not it can be read; a 503 tells the one that it has.
-Micros ToldWait(const HttpReader& answer) {
-  const state::AttemptResult ending =
+// The Retry-After of an answer. A 429 always asks for a pause, even if the header is missing or unreadable; a
+// 503 only if it has the header.
+Micros RetryAfterOf(const HttpReader& answer) {
+  const state::AttemptResult attempt_result =
       state::AttemptResultOfStatus(answer.status(), answer.header("x-no-slot") == "1");
-  const bool tells = ending == state::AttemptResult::kTooManyRequests ||
-                     (ending == state::AttemptResult::kUnavailable && answer.has("x-retry-in-ms"));
-  return tells ? ParseWait(answer.header("x-retry-in-ms")) : Micros(0);
+  const bool has_retry_after =
+      attempt_result == state::AttemptResult::kTooManyRequests ||
+      (attempt_result == state::AttemptResult::kUnavailable && answer.has("x-retry-in-ms"));
+  return has_retry_after ? ParseRetryAfter(answer.header("x-retry-in-ms")) : Micros(0);
 }
 
 }  // namespace
 
-// Bytes that belong to no call may tell a wait all the same: the own answer of a call that a copy has ended.
-Micros CallPool::UnaskedWait(std::string_view bytes) {
+// Unsolicited bytes may hold a Retry-After too: they can be the proper answer to a call that a duplicate of
+// an earlier answer has ended.
+Micros CallPool::RetryAfterIn(std::string_view bytes) {
   HttpReader reader(bytes.size());
   reader.Read(bytes);
-  return ToldWait(reader);
+  return RetryAfterOf(reader);
 }
 
-ConnectionFacts CallPool::Connection::FactsOfAnswer(state::AttemptResult ending, bool more_behind) const {
+ConnectionFacts CallPool::Connection::AnswerFacts(state::AttemptResult attempt_result,
+                                                  bool trailing_bytes) const {
   ConnectionFacts facts = Facts();
-  facts.request_sent = sent_;
-  facts.answered_early = early_;
-  facts.refusal = IsRefusal(ending);
-  facts.delivered = ending == state::AttemptResult::kDelivered;
-  facts.trailing_bytes = more_behind;
-  facts.write_delayed = held_up_;
+  facts.request_sent = request_sent_;
+  facts.answered_early = answered_early_;
+  facts.refusal = IsRefusal(attempt_result);
+  facts.delivered = attempt_result == state::AttemptResult::kDelivered;
+  facts.trailing_bytes = trailing_bytes;
+  facts.write_delayed = write_delayed_;
   return facts;
 }
 
 void CallPool::Connection::OnBytes(std::string_view bytes) {
-  if (!in_call_ && state() != ConnectionState::kReadingRest) return pool_.IdleEnded(*this, bytes);
-  last_read_ = bytes.size();
-  const bool good = reader_.Read(bytes);
-  early_ = early_ || (in_call_ && !sent_ && reader_.begun());
-  in_call_ ? TakeAnswer(good) : TakeRest(good);
+  if (!in_call_ && state() != ConnectionState::kReadingRest) return pool_.OnIdleInput(*this, bytes);
+  last_read_size_ = bytes.size();
+  const bool valid = reader_.Read(bytes);
+  answered_early_ = answered_early_ || (in_call_ && !request_sent_ && reader_.begun());
+  in_call_ ? ReadAnswer(valid) : ReadRest(valid);
 }
 
-void CallPool::Connection::TakeRest(bool good) {
-  if (!reader_.done() && good) return;
-  const bool more_behind = reader_.done() && !good;
-  ConnectionFacts facts = FactsOfAnswer(state::AttemptResult::kDelivered, more_behind);
-  facts.keep_alive = good && reader_.keep_alive();
-  if (more_behind) pool_.Said(*this, DenialReason::kTrailingBytes, last_read_);
-  pool_.RestEnded(*this, CheckConnectionUse(facts, ConnectionUse::kKeepOpen));
+void CallPool::Connection::ReadRest(bool valid) {
+  if (!reader_.done() && valid) return;
+  const bool trailing_bytes = reader_.done() && !valid;
+  ConnectionFacts facts = AnswerFacts(state::AttemptResult::kDelivered, trailing_bytes);
+  facts.keep_alive = valid && reader_.keep_alive();
+  if (trailing_bytes) pool_.HandleUnsolicitedData(*this, DenialReason::kTrailingBytes, last_read_size_);
+  pool_.OnRestFinished(*this, CheckConnectionUse(facts, ConnectionUse::kKeepOpen));
 }
 
-// A call is settled by its answer's head once that is in, or by its first line alone where that says 200.
-// The body means nothing; but where the head is no 200, one that does not come as told makes it doubtful.
-void CallPool::Connection::TakeAnswer(bool good) {
-  if (reader_.done()) return Answered(!good, good && reader_.keep_alive());
-  if (!good) return Spoilt();
-  // A body that only the connection's end would end is not waited for.
+// The head of the answer decides the call once it is complete; a status line with 200 decides it alone. The
+// content of the body means nothing. But if the status is not 200, a body that does not arrive as announced
+// makes the answer doubtful.
+void CallPool::Connection::ReadAnswer(bool valid) {
+  if (reader_.done()) return OnAnswer(!valid, valid && reader_.keep_alive());
+  if (!valid) return OnMalformedAnswer();
+  // A body that ends only with the connection is not awaited.
   if (reader_.head_done() && (reader_.ends_with_connection() || reader_.status() == 200))
-    return Answered(false, !reader_.ends_with_connection());
-  const bool before = std::exchange(begun_, reader_.begun());
-  if (before == begun_) return;
-  if (begun_) {
-    phase_.Start(kAnswerPatience);
+    return OnAnswer(false, !reader_.ends_with_connection());
+  const bool was_begun = std::exchange(answer_begun_, reader_.begun());
+  if (was_begun == answer_begun_) return;
+  if (answer_begun_) {
+    phase_timer_.Start(kAnswerTimeout);
   } else {
-    phase_.Stop();  // so far 1xx alone
+    phase_timer_.Stop();  // only 1xx responses so far
   }
 }
 
 void CallPool::Connection::OnEnd(int) {
-  if (state() == ConnectionState::kReadingRest) return pool_.RestEnded(*this, DenialReason::kEndedByPeer);
-  if (!in_call_) return pool_.IdleEnded(*this, {});
+  if (state() == ConnectionState::kReadingRest)
+    return pool_.OnRestFinished(*this, DenialReason::kEndedByPeer);
+  if (!in_call_) return pool_.OnIdleInput(*this, {});
   reader_.ReadEnd();
-  if (reader_.done()) return Answered(false, false);
-  if (reader_.status() == 200) return Spoilt();
-  if (begun_) return End(state::AttemptResult::kBrokenMidAnswer, DenialReason::kEndedByPeer);
-  End(sent_ ? state::AttemptResult::kBrokenAfterSent : state::AttemptResult::kBrokenBeforeSent,
-      DenialReason::kEndedByPeer);
+  if (reader_.done()) return OnAnswer(false, false);
+  if (reader_.status() == 200) return OnMalformedAnswer();
+  if (answer_begun_) return EndCall(state::AttemptResult::kBrokenMidAnswer, DenialReason::kEndedByPeer);
+  EndCall(request_sent_ ? state::AttemptResult::kBrokenAfterSent : state::AttemptResult::kBrokenBeforeSent,
+          DenialReason::kEndedByPeer);
 }
 
-// An answer of which a part is missing, or not to be read. On a used connection it may be two halves.
-void CallPool::Connection::Spoilt() {
+// A part of the answer is missing or unreadable. On a reused connection it may consist of parts of two
+// answers.
+void CallPool::Connection::OnMalformedAnswer() {
   if (reader_.status() != 200)
-    return End(state::AttemptResult::kMalformedResponse, DenialReason::kEndedByPeer);
-  ConnectionFacts facts = FactsOfAnswer(state::AttemptResult::kDelivered, false);
+    return EndCall(state::AttemptResult::kMalformedResponse, DenialReason::kEndedByPeer);
+  ConnectionFacts facts = AnswerFacts(state::AttemptResult::kDelivered, false);
   facts.malformed = true;
   const DenialReason why = CheckConnectionUse(facts, ConnectionUse::kAcceptAnswer);
-  if (why != DenialReason::kNone) return Disbelieve(why, state::AttemptResult::kDelivered);
-  judged_ = true;
-  End(state::AttemptResult::kDelivered, DenialReason::kEndedByPeer);
+  if (why != DenialReason::kNone) return RejectAnswer(why, state::AttemptResult::kDelivered);
+  answer_accepted_ = true;
+  EndCall(state::AttemptResult::kDelivered, DenialReason::kEndedByPeer);
 }
 
-void CallPool::Connection::Answered(bool more_behind, bool keep_alive) {
-  const state::AttemptResult ending =
+void CallPool::Connection::OnAnswer(bool trailing_bytes, bool keep_alive) {
+  const state::AttemptResult attempt_result =
       state::AttemptResultOfStatus(reader_.status(), reader_.header("x-no-slot") == "1");
-  ConnectionFacts facts = FactsOfAnswer(ending, more_behind);
+  ConnectionFacts facts = AnswerFacts(attempt_result, trailing_bytes);
   facts.keep_alive = keep_alive;
   const DenialReason why = CheckConnectionUse(facts, ConnectionUse::kAcceptAnswer);
-  if (why != DenialReason::kNone) return Disbelieve(why, ending);
-  judged_ = true;
-  CallResult result = ResultOf(ending);
-  result.wait = ToldWait(reader_);
-  result.load = ParseLoad(reader_.header("endpoint-load-metrics"));
-  if (life_.calls() > 1 && state::MeaningOf(ending).message_done) pool_.Believed(*this, serial_);
-  if (more_behind) pool_.Said(*this, DenialReason::kTrailingBytes, last_read_);
-  const DenialReason kept = CheckConnectionUse(facts, ConnectionUse::kKeepOpen);
-  const After after = kept != DenialReason::kNone ? After::kClose
-                      : reader_.done()            ? After::kKeep
-                                                  : After::kAwaitRest;
-  pool_.Finished(*this, result, after, kept);
+  if (why != DenialReason::kNone) return RejectAnswer(why, attempt_result);
+  answer_accepted_ = true;
+  CallResult result = ResultOf(attempt_result);
+  result.wait = RetryAfterOf(reader_);
+  result.load = ParseLoadReport(reader_.header("endpoint-load-metrics"));
+  if (lifecycle_.calls() > 1 && state::MeaningOf(attempt_result).message_done)
+    pool_.RecordAcceptedAnswer(*this, serial_);
+  if (trailing_bytes) pool_.HandleUnsolicitedData(*this, DenialReason::kTrailingBytes, last_read_size_);
+  const DenialReason keep_denial = CheckConnectionUse(facts, ConnectionUse::kKeepOpen);
+  const AfterCall after = keep_denial != DenialReason::kNone ? AfterCall::kClose
+                          : reader_.done()                   ? AfterCall::kKeep
+                                                             : AfterCall::kReadRest;
+  pool_.OnCallFinished(*this, result, after, keep_denial);
 }
 
-// The call ends as one that may have run, or that has never left. A wait binds whoever it was told to.
-void CallPool::Connection::Disbelieve(DenialReason why, state::AttemptResult said) {
-  pool_.NotBelieved(*this, why, said);
-  if (IndicatesUnsolicitedData(why)) pool_.Said(*this, why, last_read_);
-  CallResult result =
-      ResultOf(sent_ ? state::AttemptResult::kMalformedResponse : state::AttemptResult::kBrokenBeforeSent);
-  result.wait = ToldWait(reader_);
-  pool_.Finished(*this, result, After::kClose, why);
+// The call ends as one that may have run, or as one that was never sent. A Retry-After in the answer is
+// heeded all the same, whichever call it was meant for.
+void CallPool::Connection::RejectAnswer(DenialReason why, state::AttemptResult claimed_result) {
+  pool_.ReportRejectedAnswer(*this, why, claimed_result);
+  if (IndicatesUnsolicitedData(why)) pool_.HandleUnsolicitedData(*this, why, last_read_size_);
+  CallResult result = ResultOf(request_sent_ ? state::AttemptResult::kMalformedResponse
+                                             : state::AttemptResult::kBrokenBeforeSent);
+  result.wait = RetryAfterOf(reader_);
+  pool_.OnCallFinished(*this, result, AfterCall::kClose, why);
 }
 
 }  // namespace indigosaddle::net
--- a/src/net/call_connection.cpp
+++ b/src/net/call_connection.cpp
@@ -5,10 +5,10 @@
 namespace indigosaddle::net {
 namespace {
 
-constexpr std::size_t kMostAnswerBody = std::size_t{64} * 1024;
+constexpr std::size_t kMaxAnswerBodyBytes = std::size_t{64} * 1024;
 
-// This machine is short of something; it says nothing of the endpoint.
-bool LacksHere(int error) {
+// The error means that this machine lacks a resource, and says nothing about the endpoint.
+bool IsLocalShortage(int error) {
   return error == UV_EMFILE || error == UV_ENFILE || error == UV_ENOBUFS || error == UV_ENOMEM ||
          error == UV_EADDRNOTAVAIL;
 }
@@ -20,15 +20,15 @@
       host_(std::move(host)),
       dial_(std::move(dial)),
       number_(number),
-      life_(pool.loop_.Now()),
-      reader_(kMostAnswerBody),
+      lifecycle_(pool.loop_.Now()),
+      reader_(kMaxAnswerBodyBytes),
       stream_(pool.loop_, *this),
-      timeout_(pool.loop_, [this] { OnTimeout(); }),
-      phase_(pool.loop_, [this] { OnPhaseOver(); }) {}
+      call_timer_(pool.loop_, [this] { OnTimeout(); }),
+      phase_timer_(pool.loop_, [this] { OnPhaseTimeout(); }) {}
 
-ConnectionNote CallPool::Connection::Note() const {
+ConnectionInfo CallPool::Connection::Info() const {
   const Micros now = Now();
-  return {number_, life_.At(now), life_.calls(), life_.Age(now), now - life_.since()};
+  return {number_, lifecycle_.At(now), lifecycle_.calls(), lifecycle_.Age(now), now - lifecycle_.since()};
 }
 
 ConnectionFacts CallPool::Connection::Facts() const {
@@ -38,141 +38,148 @@
   return facts;
 }
 
-DenialReason CallPool::Connection::MayCarry(const std::string& dial, bool first_call_only) const {
+DenialReason CallPool::Connection::CheckSendCall(const std::string& dial, bool first_call_only) const {
   ConnectionFacts facts = Facts();
   facts.address_changed = dial != dial_;
-  facts.idle_too_long = pool_.Worn(*this);
+  facts.idle_too_long = pool_.IdleTooLong(*this);
   facts.unread_input = !stream_.open_and_quiet();
   facts.first_call_only = first_call_only;
   return CheckConnectionUse(facts, ConnectionUse::kSendCall);
 }
 
 void CallPool::Connection::Close() {
-  timeout_.Stop(), phase_.Stop(), StopLastByte();
+  call_timer_.Stop();
+  phase_timer_.Stop();
+  StopLastByteTimer();
   stream_.undelivered() ? stream_.Abort() : stream_.Close();
-  life_.MarkClosed(Now());
+  lifecycle_.MarkClosed(Now());
 }
 
-void CallPool::Connection::Begin(const CallRequest& request, bool connect) {
+void CallPool::Connection::StartCall(const CallRequest& request, bool connect) {
   serial_ = request.serial;
   last_id_ = request.id;
   request_ = request;
-  began_ = Now();
+  call_started_at_ = Now();
   in_call_ = true;
-  sent_ = begun_ = held_up_ = early_ = judged_ = false;
+  request_sent_ = answer_begun_ = write_delayed_ = answered_early_ = answer_accepted_ = false;
   reader_.Reset();
-  timeout_.Start(request.timeout);
+  call_timer_.Start(request.timeout);
   if (!connect) {
-    if (const StartPermit permit = pool_.may_start_(serial_)) return Send(*permit);
-    failure_ = state::AttemptResult::kNotStarted;
-    return timeout_.Start(Micros(0));
+    if (const StartPermit permit = pool_.may_start_(serial_)) return SendCall(*permit);
+    start_failure_ = state::AttemptResult::kNotStarted;
+    return call_timer_.Start(Micros(0));
   }
   if (const int error = stream_.Connect(dial_); error != 0) {
-    failure_ = error == UV_ECONNREFUSED ? state::AttemptResult::kConnectionRefused
-               : LacksHere(error)       ? state::AttemptResult::kNotStarted
-                                        : state::AttemptResult::kConnectFailed;
-    return timeout_.Start(Micros(0));
+    start_failure_ = error == UV_ECONNREFUSED ? state::AttemptResult::kConnectionRefused
+                     : IsLocalShortage(error) ? state::AttemptResult::kNotStarted
+                                              : state::AttemptResult::kConnectFailed;
+    return call_timer_.Start(Micros(0));
   }
-  if (pool_.limits_.connect_timeout > Micros(0)) phase_.Start(pool_.limits_.connect_timeout);
+  if (pool_.limits_.connect_timeout > Micros(0)) phase_timer_.Start(pool_.limits_.connect_timeout);
 }
 
 void CallPool::Connection::AwaitRest() {
   in_call_ = false;
-  life_.MarkReadingRest(Now());
-  timeout_.Stop(), StopLastByte();
-  phase_.Start(kAnswerPatience);
+  lifecycle_.MarkReadingRest(Now());
+  call_timer_.Stop();
+  StopLastByteTimer();
+  phase_timer_.Start(kAnswerTimeout);
 }
 
-void CallPool::Connection::Settle() {
+void CallPool::Connection::BecomeIdle() {
   in_call_ = false;
-  life_.calls() == 0 ? life_.MarkConnected(Now()) : life_.MarkAnswered(Now());
-  timeout_.Stop(), phase_.Stop(), StopLastByte();
+  lifecycle_.calls() == 0 ? lifecycle_.MarkConnected(Now()) : lifecycle_.MarkAnswered(Now());
+  call_timer_.Stop();
+  phase_timer_.Stop();
+  StopLastByteTimer();
 }
 
 void CallPool::Connection::OnConnected(int error) {
-  phase_.Stop();
+  phase_timer_.Stop();
   if (error != 0) {
-    return End(error == UV_ECONNREFUSED ? state::AttemptResult::kConnectionRefused
-                                        : state::AttemptResult::kConnectFailed);
+    return EndCall(error == UV_ECONNREFUSED ? state::AttemptResult::kConnectionRefused
+                                            : state::AttemptResult::kConnectFailed);
   }
-  up_ = true;
-  life_.MarkConnected(Now());
-  if (stream_.StartReading() != 0) return End(state::AttemptResult::kBrokenBeforeSent);
+  connected_ = true;
+  lifecycle_.MarkConnected(Now());
+  if (stream_.StartReading() != 0) return EndCall(state::AttemptResult::kBrokenBeforeSent);
   const StartPermit permit = pool_.may_start_(serial_);
   if (!permit) {
-    return pool_.Finished(*this, ResultOf(state::AttemptResult::kNotStarted), After::kKeep,
-                          DenialReason::kNone);
+    return pool_.OnCallFinished(*this, ResultOf(state::AttemptResult::kNotStarted), AfterCall::kKeep,
+                                DenialReason::kNone);
   }
-  Send(*permit);
+  SendCall(*permit);
 }
 
-// What it tells of its time counts from here: its connection has used up a part. Asking for the permit may
-// have taken time as well, so the connection is looked at once more.
-void CallPool::Connection::Send(Micros last_byte_by) {
-  const Micros looked_at = Now();
-  const DenialReason why = MayCarry(dial_, request_.first_call_only);
+// The call announces the time that is left from here on, as connecting has used up a part of its timeout.
+// Asking for the permit may have taken time too, so the connection is checked once more.
+void CallPool::Connection::SendCall(Micros last_byte_by) {
+  const Micros checked_at = Now();
+  const DenialReason why = CheckSendCall(dial_, request_.first_call_only);
   if (why != DenialReason::kNone) {
-    if (why != DenialReason::kUnreadInput && why != DenialReason::kIdleTooLong) pool_.Break(*this, why);
-    if (const std::size_t bytes = stream_.unread(); bytes > 0) pool_.Said(*this, why, bytes);
-    failure_ = state::AttemptResult::kBrokenBeforeSent;
-    return timeout_.Start(Micros(0));
+    if (why != DenialReason::kUnreadInput && why != DenialReason::kIdleTooLong)
+      pool_.ReportTrustViolation(*this, why);
+    if (const std::size_t bytes = stream_.unread(); bytes > 0) pool_.HandleUnsolicitedData(*this, why, bytes);
+    start_failure_ = state::AttemptResult::kBrokenBeforeSent;
+    return call_timer_.Start(Micros(0));
   }
-  life_.MarkCallStarted(Now());
-  request_.timeout = std::max(Micros(0), request_.timeout - (Now() - began_));
+  lifecycle_.MarkCallStarted(Now());
+  request_.timeout = std::max(Micros(0), request_.timeout - (Now() - call_started_at_));
   const int error = stream_.Write(FormatCall(std::exchange(request_, {})));
-  if (error != 0) {  // known before any byte left: no part of the call was sent
-    failure_ = state::AttemptResult::kBrokenBeforeSent;
-    return timeout_.Start(Micros(0));
+  if (error != 0) {  // reported before any byte left: no part of the call was sent
+    start_failure_ = state::AttemptResult::kBrokenBeforeSent;
+    return call_timer_.Start(Micros(0));
   }
-  held_up_ = Now() - looked_at > ConnectionLifecycle::kUnreadCheckValidFor && stream_.unread() > 0;
-  if (stream_.unwritten() == 0) Sent();
+  write_delayed_ = Now() - checked_at > ConnectionLifecycle::kUnreadCheckValidFor && stream_.unread() > 0;
+  if (stream_.unwritten() == 0) OnCallSent();
   if (last_byte_by == Micros::max()) return;
-  if (!last_byte_) last_byte_.emplace(pool_.loop_, [this] { OnLastByteDue(); });
-  last_byte_->Start(std::max(Micros(0), last_byte_by - Now()));
+  if (!last_byte_timer_) last_byte_timer_.emplace(pool_.loop_, [this] { OnLastByteDeadline(); });
+  last_byte_timer_->Start(std::max(Micros(0), last_byte_by - Now()));
 }
 
-void CallPool::Connection::StopLastByte() {
-  if (last_byte_) last_byte_->Stop();
+void CallPool::Connection::StopLastByteTimer() {
+  if (last_byte_timer_) last_byte_timer_->Stop();
 }
 
-// Bytes may wait in the system for a peer that does not read.
-void CallPool::Connection::OnLastByteDue() {
+// Bytes may still wait in the system if the peer does not read.
+void CallPool::Connection::OnLastByteDeadline() {
   if (!in_call_ || !stream_.undelivered()) return;
-  End(sent_ ? state::AttemptResult::kBrokenAfterSent : state::AttemptResult::kBrokenBeforeSent);
+  EndCall(request_sent_ ? state::AttemptResult::kBrokenAfterSent : state::AttemptResult::kBrokenBeforeSent);
 }
 
-void CallPool::Connection::Sent() {
-  if (!std::exchange(sent_, true)) ++pool_.counts_.written;
+void CallPool::Connection::OnCallSent() {
+  if (!std::exchange(request_sent_, true)) ++pool_.counts_.written;
 }
 
 void CallPool::Connection::OnTimeout() {
   if (!in_call_) return;
-  if (failure_) return End(*failure_);
-  if (!up_) return End(state::AttemptResult::kConnectFailed);
-  if (RestartIfUnread(timeout_, stream_)) return;
-  if (!sent_) return End(state::AttemptResult::kBrokenBeforeSent);
-  if (begun_) return Spoilt();
-  End(state::AttemptResult::kTimedOut);
+  if (start_failure_) return EndCall(*start_failure_);
+  if (!connected_) return EndCall(state::AttemptResult::kConnectFailed);
+  if (RestartIfUnread(call_timer_, stream_)) return;
+  if (!request_sent_) return EndCall(state::AttemptResult::kBrokenBeforeSent);
+  if (answer_begun_) return OnMalformedAnswer();
+  EndCall(state::AttemptResult::kTimedOut);
 }
 
-void CallPool::Connection::OnPhaseOver() {
-  if (state() == ConnectionState::kReadingRest) return pool_.RestEnded(*this, DenialReason::kEndedByPeer);
+void CallPool::Connection::OnPhaseTimeout() {
+  if (state() == ConnectionState::kReadingRest)
+    return pool_.OnRestFinished(*this, DenialReason::kEndedByPeer);
   if (!in_call_) return;
-  if (!up_) return End(state::AttemptResult::kConnectFailed);
-  if (RestartIfUnread(phase_, stream_)) return;
-  Spoilt();
+  if (!connected_) return EndCall(state::AttemptResult::kConnectFailed);
+  if (RestartIfUnread(phase_timer_, stream_)) return;
+  OnMalformedAnswer();
 }
 
-void CallPool::Connection::End(state::AttemptResult ending, DenialReason why) {
-  pool_.Finished(*this, ResultOf(ending), After::kClose, why);
+void CallPool::Connection::EndCall(state::AttemptResult attempt_result, DenialReason why) {
+  pool_.OnCallFinished(*this, ResultOf(attempt_result), AfterCall::kClose, why);
 }
 
-CallResult CallPool::Connection::ResultOf(state::AttemptResult ending) const {
+CallResult CallPool::Connection::ResultOf(state::AttemptResult attempt_result) const {
   CallResult result;
   result.serial = serial_;
-  result.ending = ending;
-  result.latency = Now() - began_;
-  result.connection = Note();
+  result.attempt_result = attempt_result;
+  result.latency = Now() - call_started_at_;
+  result.connection = Info();
   return result;
 }
 
--- a/src/net/call_format.cpp
+++ b/src/net/call_format.cpp
@@ -10,12 +10,12 @@
 namespace indigosaddle::net {
 namespace {
 
-constexpr double kMostReported = 1e9;  // of a load report's figures: more is rubbish
-constexpr double kMostWaitMillis = 1e9;
+constexpr double kMaxReported = 1e9;  // a larger figure in a load report is not plausible
+constexpr double kMaxRetryAfterMillis = 1e9;
 
-Micros ToWait(double millis) {
+Micros ToRetryAfter(double millis) {
   return std::chrono::duration_cast<Micros>(
-      std::chrono::duration<double, std::milli>(std::min(millis, kMostWaitMillis)));
+      std::chrono::duration<double, std::milli>(std::min(millis, kMaxRetryAfterMillis)));
 }
 
 }  // namespace
@@ -40,19 +40,19 @@
   return text += request.body;
 }
 
-Micros ParseWait(std::string_view text) {
+Micros ParseRetryAfter(std::string_view text) {
   Micros longest(0);
-  for (bool more = true; more;) {
+  for (bool more_values = true; more_values;) {
     const std::size_t comma = text.find(',');
     const auto millis = ParseNumber(text.substr(0, comma));
-    longest = std::max(longest, millis && *millis >= 0 ? ToWait(*millis) : kUnreadableWait);
-    more = comma != std::string_view::npos;
-    if (more) text.remove_prefix(comma + 1);
+    longest = std::max(longest, millis && *millis >= 0 ? ToRetryAfter(*millis) : kUnreadableRetryAfter);
+    more_values = comma != std::string_view::npos;
+    if (more_values) text.remove_prefix(comma + 1);
   }
   return longest;
 }
 
-LoadReport ParseLoad(std::string_view text) {
+LoadReport ParseLoadReport(std::string_view text) {
   std::optional<double> left, limit;
   while (!text.empty()) {
     const std::size_t comma = text.find(',');
@@ -62,12 +62,12 @@
     const std::size_t equals = pair.find('=');
     if (equals == std::string_view::npos) return {};
     const auto value = ParseNumber(pair.substr(equals + 1));
-    if (!value || *value < 0 || *value > kMostReported) return {};
+    if (!value || *value < 0 || *value > kMaxReported) return {};
     const std::string_view name = pair.substr(0, equals);
-    std::optional<double>* const place = name == "x0" ? &left : name == "x1" ? &limit : nullptr;
-    if (place == nullptr) continue;
-    if (place->has_value()) return {};
-    *place = value;
+    std::optional<double>* const field = name == "x0" ? &left : name == "x1" ? &limit : nullptr;
+    if (field == nullptr) continue;
+    if (field->has_value()) return {};
+    *field = value;
   }
   LoadReport report;
   report.left = left.value_or(report.left);
--- a/src/net/call_format.h
+++ b/src/net/call_format.h
@@ -1,4 +1,5 @@
-// A call to an endpoint as it is written, and the parts of its answer's head that are numbers. No I/O.
+// The wire format of calls to endpoints: writes the request, and parses the numeric headers of the answer. No
+// I/O.
 #pragma once
 
 #include <chrono>
@@ -11,20 +12,29 @@
 
 namespace indigosaddle::net {
 
+// One call to an endpoint.
 struct CallRequest {
-  std::uint64_t serial = 0;
+  std::uint64_t serial = 0;  // of the message at this node
+  // `dial`: the address to connect to, as "ip:port". `host`: the endpoint's id, sent as the Host header.
+  // `id`: of the message. `idempotency_key`: empty if there is none.
   std::string dial, host, id, idempotency_key, body;
-  Micros timeout{0};
-  bool first_call_only = false;  // it goes out as the first of a connection
+  Micros timeout{0};             // for the whole call, connecting included
+  bool first_call_only = false;  // it may only be the first call of a connection
 };
 
+// The HTTP request of the call. `timeout` is sent as the time that this node still waits.
 std::string FormatCall(const CallRequest& request);
-LoadReport ParseLoad(
-    std::string_view text);  // with a part that can't be read, or one given twice: not believed in any
-// The longest of the waits that a header tells. Where one of them can't be read, kUnreadableWait at the
-// least: that one was told to wait is sure, and an odd answer stops no destination for long.
-Micros ParseWait(std::string_view text);
-constexpr Micros kUnreadableWait = std::chrono::seconds(1);
-std::optional<double> ParseNumber(std::string_view text);  // finite, spaces round it passed over
+
+// Parses the load report header. If any part is unreadable or given twice, the whole report is ignored.
+LoadReport ParseLoadReport(std::string_view text);
+
+// Parses a Retry-After header with one or several values and returns the longest. An unreadable value counts
+// as kUnreadableRetryAfter: it is certain that the endpoint asked for a pause, but a malformed answer must
+// not stop a destination for long.
+Micros ParseRetryAfter(std::string_view text);
+constexpr Micros kUnreadableRetryAfter = std::chrono::seconds(1);
+
+// Parses a finite number, ignoring spaces around it. Returns nothing if the text is not one.
+std::optional<double> ParseNumber(std::string_view text);
 
 }  // namespace indigosaddle::net
--- a/src/net/call_pool.cpp
+++ b/src/net/call_pool.cpp
@@ -8,22 +8,22 @@
 namespace indigosaddle::net {
 namespace {
 
-// An idle connection is closed this much before the other side may, a quarter of its time at most: a request
-// on its way must arrive in time.
+// An idle connection is closed this long before the peer may close it, but at most a quarter of that time
+// earlier, so that a request on its way arrives in time.
 constexpr Micros kIdleMargin = std::chrono::milliseconds(500);
-constexpr Micros kSweepEvery = std::chrono::milliseconds(250);
+constexpr Micros kSweepInterval = std::chrono::milliseconds(250);
 
 }  // namespace
 
 CallPool::CallPool(Loop& loop, Limits limits, std::function<StartPermit(std::uint64_t)> may_start,
-                   std::function<void(const CallResult&)> ended)
+                   std::function<void(const CallResult&)> on_finished)
     : loop_(loop),
       limits_(limits),
       may_start_(std::move(may_start)),
-      ended_(std::move(ended)),
-      sweep_(loop, [this] { CloseWorn(); }),
-      bury_(loop, [this] { buried_.clear(); }) {
-  sweep_.Start(kSweepEvery);
+      on_finished_(std::move(on_finished)),
+      sweep_timer_(loop, [this] { CloseExpiredIdle(); }),
+      deletion_timer_(loop, [this] { closed_.clear(); }) {
+  sweep_timer_.Start(kSweepInterval);
 }
 
 CallPool::~CallPool() = default;
@@ -32,107 +32,109 @@
   std::unique_ptr<Connection> connection = TakeIdle(request);
   const bool connect = connection == nullptr;
   if (connect) {
-    if (connections() >= limits_.most_connections) DropOldestIdle();
+    if (connections() >= limits_.max_connections) CloseOldestIdle();
     connection = std::make_unique<Connection>(*this, request.host, request.dial, ++counts_.opened);
   } else {
     ++counts_.reused;
   }
   Connection* raw = connection.get();
   busy_.emplace(raw, std::move(connection));
-  raw->Begin(request, connect);
+  raw->StartCall(request, connect);
 }
 
-void CallPool::Finished(Connection& connection, const CallResult& result, After after, DenialReason why) {
+void CallPool::OnCallFinished(Connection& connection, const CallResult& result, AfterCall after,
+                              DenialReason why) {
   auto node = busy_.extract(&connection);
   if (node.empty()) return;
-  if (state::IsAnswer(result.ending) && !connection.judged()) Break(connection, DenialReason::kWrongState);
-  if (after == After::kKeep) {
+  if (state::IsAnswer(result.attempt_result) && !connection.answer_accepted())
+    ReportTrustViolation(connection, DenialReason::kWrongState);
+  if (after == AfterCall::kKeep) {
     KeepIdle(std::move(node.mapped()));
-  } else if (after == After::kAwaitRest) {
+  } else if (after == AfterCall::kReadRest) {
     connection.AwaitRest();
-    rest_.insert(std::move(node));
+    reading_rest_.insert(std::move(node));
   } else {
-    ClosedFor(connection, why);
-    Bury(std::move(node.mapped()));
+    ReportClosed(connection, why);
+    CloseAndDeleteLater(std::move(node.mapped()));
   }
-  ended_(result);
+  on_finished_(result);
 }
 
-void CallPool::RestEnded(Connection& connection, DenialReason why) {
-  auto node = rest_.extract(&connection);
+void CallPool::OnRestFinished(Connection& connection, DenialReason why) {
+  auto node = reading_rest_.extract(&connection);
   if (node.empty()) return;
   if (why == DenialReason::kNone) return KeepIdle(std::move(node.mapped()));
-  ClosedFor(connection, why);
-  Bury(std::move(node.mapped()));
+  ReportClosed(connection, why);
+  CloseAndDeleteLater(std::move(node.mapped()));
 }
 
 void CallPool::KeepIdle(std::unique_ptr<Connection> connection) {
-  connection->Settle();
+  connection->BecomeIdle();
   idle_[connection->host()].push_back(std::move(connection));
   ++idle_count_;
 }
 
-// It ended, or said something that nobody asked for.
-void CallPool::IdleEnded(Connection& connection, std::string_view bytes) {
-  Idle& idle = idle_[connection.host()];
+void CallPool::OnIdleInput(Connection& connection, std::string_view bytes) {
+  IdleConnections& idle = idle_[connection.host()];
   const auto it =
       std::find_if(idle.begin(), idle.end(), [&](const auto& c) { return c.get() == &connection; });
   if (it == idle.end()) return;
-  std::unique_ptr<Connection> ended = std::move(*it);
+  std::unique_ptr<Connection> removed = std::move(*it);
   idle.erase(it);
   --idle_count_;
-  ClosedFor(connection, bytes.empty() ? DenialReason::kEndedByPeer : DenialReason::kUnreadInput);
-  if (!bytes.empty()) Said(connection, DenialReason::kUnreadInput, bytes.size(), UnaskedWait(bytes));
-  Bury(std::move(ended));
+  ReportClosed(connection, bytes.empty() ? DenialReason::kEndedByPeer : DenialReason::kUnreadInput);
+  if (!bytes.empty())
+    HandleUnsolicitedData(connection, DenialReason::kUnreadInput, bytes.size(), RetryAfterIn(bytes));
+  CloseAndDeleteLater(std::move(removed));
 }
 
 std::size_t CallPool::idle(const std::string& host, const std::string& dial, bool first_call_only) const {
   const auto it = idle_.find(host);
   if (it == idle_.end()) return 0;
   return static_cast<std::size_t>(std::count_if(it->second.begin(), it->second.end(), [&](const auto& c) {
-    return c->MayCarry(dial, first_call_only) == DenialReason::kNone;
+    return c->CheckSendCall(dial, first_call_only) == DenialReason::kNone;
   }));
 }
 
 std::unique_ptr<CallPool::Connection> CallPool::TakeIdle(const CallRequest& request) {
   const auto it = idle_.find(request.host);
   if (it == idle_.end()) return nullptr;
-  Idle& idle = it->second;
-  DenialReason first_why = DenialReason::kNone;
-  for (std::size_t at = 0; at < idle.size();) {
-    const DenialReason why = idle[at]->MayCarry(request.dial, request.first_call_only);
-    if (first_why == DenialReason::kNone) first_why = why;
+  IdleConnections& idle = it->second;
+  DenialReason first_denial = DenialReason::kNone;
+  for (std::size_t index = 0; index < idle.size();) {
+    const DenialReason why = idle[index]->CheckSendCall(request.dial, request.first_call_only);
+    if (first_denial == DenialReason::kNone) first_denial = why;
     if (why == DenialReason::kSettling || why == DenialReason::kFirstCallOnly) {
-      ++at;
+      ++index;
       continue;
     }
-    // What lies there is read in this pass of the loop, and speaks against all others of this endpoint.
-    if (why == DenialReason::kUnreadInput && idle[at]->unread() > 0) break;
-    std::unique_ptr<Connection> connection = std::move(idle[at]);
-    idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(at));
+    // The unread bytes are read in this pass of the loop, and make all connections of this endpoint suspect.
+    if (why == DenialReason::kUnreadInput && idle[index]->unread() > 0) break;
+    std::unique_ptr<Connection> connection = std::move(idle[index]);
+    idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(index));
     --idle_count_;
     if (why == DenialReason::kNone) return connection;
-    ClosedFor(*connection, why);
+    ReportClosed(*connection, why);
   }
-  ++counts_.not_reused[static_cast<std::size_t>(first_why)];
+  ++counts_.not_reused[static_cast<std::size_t>(first_denial)];
   return nullptr;
 }
 
-bool CallPool::Worn(const Connection& connection) const {
+bool CallPool::IdleTooLong(const Connection& connection) const {
   const Micros limit = limits_.idle_close - std::min<Micros>(kIdleMargin, limits_.idle_close / 4);
-  return limits_.idle_close > Micros(0) && loop_.Now() - connection.life().since() >= limit;
+  return limits_.idle_close > Micros(0) && loop_.Now() - connection.lifecycle().since() >= limit;
 }
 
-void CallPool::DropOldestIdle() {
-  Idle* oldest = nullptr;
-  for (auto& [dial, idle] : idle_) {
+void CallPool::CloseOldestIdle() {
+  IdleConnections* oldest = nullptr;
+  for (auto& [host, idle] : idle_) {
     if (!idle.empty() &&
-        (oldest == nullptr || idle.front()->life().since() < oldest->front()->life().since())) {
+        (oldest == nullptr || idle.front()->lifecycle().since() < oldest->front()->lifecycle().since())) {
       oldest = &idle;
     }
   }
   if (oldest == nullptr) return;
-  ClosedFor(*oldest->front(), DenialReason::kNone);
+  ReportClosed(*oldest->front(), DenialReason::kNone);
   oldest->erase(oldest->begin());
   --idle_count_;
 }
@@ -142,7 +144,7 @@
   if (it == idle_.end()) return;
   const DenialReason why =
       suspects_.IsSuspect(host, loop_.Now()) ? DenialReason::kSuspectEndpoint : DenialReason::kNone;
-  for (const auto& connection : it->second) ClosedFor(*connection, why);
+  for (const auto& connection : it->second) ReportClosed(*connection, why);
   idle_count_ -= it->second.size();
   idle_.erase(it);
 }
@@ -154,36 +156,40 @@
 void CallPool::EndUnstarted() {
   std::vector<Connection*> unstarted;
   for (const auto& [raw, connection] : busy_)
-    if (!connection->up()) unstarted.push_back(raw);
+    if (!connection->connected()) unstarted.push_back(raw);
   for (Connection* connection : unstarted) connection->EndUnstarted();
 }
 
 void CallPool::Close() {
   for (auto& [raw, connection] : busy_) connection->Close();
-  for (auto& [raw, connection] : rest_) connection->Close();
-  busy_.clear(), rest_.clear(), idle_.clear(), buried_.clear();
+  for (auto& [raw, connection] : reading_rest_) connection->Close();
+  busy_.clear();
+  reading_rest_.clear();
+  idle_.clear();
+  closed_.clear();
   idle_count_ = 0;
-  sweep_.Stop(), bury_.Stop();
+  sweep_timer_.Stop();
+  deletion_timer_.Stop();
 }
 
-void CallPool::CloseWorn() {
+void CallPool::CloseExpiredIdle() {
   for (auto it = idle_.begin(); it != idle_.end();) {
     idle_count_ -= std::erase_if(it->second, [this](const auto& connection) {
-      if (!Worn(*connection)) return false;
-      ClosedFor(*connection, DenialReason::kIdleTooLong);
+      if (!IdleTooLong(*connection)) return false;
+      ReportClosed(*connection, DenialReason::kIdleTooLong);
       return true;
     });
     it = it->second.empty() ? idle_.erase(it) : std::next(it);
   }
-  sweep_.Start(kSweepEvery);
+  sweep_timer_.Start(kSweepInterval);
 }
 
-// Closed at once, though it may be in one of its callbacks: what is tried next for the same message must find
-// no earlier call still open.
-void CallPool::Bury(std::unique_ptr<Connection> connection) {
+// Closes the connection at once, although it may be in one of its callbacks: the next attempt at the same
+// message must find no earlier call still open.
+void CallPool::CloseAndDeleteLater(std::unique_ptr<Connection> connection) {
   connection->Close();
-  buried_.push_back(std::move(connection));
-  bury_.Start(Micros(0));
+  closed_.push_back(std::move(connection));
+  deletion_timer_.Start(Micros(0));
 }
 
 }  // namespace indigosaddle::net
--- a/src/net/call_pool_trust.cpp
+++ b/src/net/call_pool_trust.cpp
@@ -1,4 +1,4 @@
-// What was said unasked on a pool's connections, and what follows of it.
+// Unsolicited data on a pool's connections, and its consequences.
 #include <utility>
 
 #include "net/call_connection.h"
@@ -6,55 +6,61 @@
 
 namespace indigosaddle::net {
 
-void CallPool::ClosedFor(const Connection& connection, DenialReason why) {
+void CallPool::ReportClosed(const Connection& connection, DenialReason why) {
   ++counts_.closed[static_cast<std::size_t>(why)];
   if (observer_ != nullptr)
-    observer_->OnConnectionClosed({connection.host(), connection.last_id(), connection.Note(), why});
+    observer_->OnConnectionClosed({connection.host(), connection.last_id(), connection.Info(), why});
 }
 
-// A sign that this endpoint, or something in front of it, says things twice: its idle connections go, and
-// what was believed there on used ones is doubtful.
-void CallPool::Said(const Connection& connection, DenialReason why, std::size_t bytes, Micros wait) {
-  ++counts_.unasked;
+// Unsolicited data indicates that this endpoint, or a proxy in front of it, sends duplicates. So its idle
+// connections are closed, and the answers accepted lately on its reused connections become doubtful.
+void CallPool::HandleUnsolicitedData(const Connection& connection, DenialReason why, std::size_t bytes,
+                                     Micros wait) {
+  ++counts_.unsolicited;
   const Micros now = loop_.Now();
-  const bool all_now = suspects_.ReportUnsolicitedData(connection.host(), now);
+  const bool all_suspect = suspects_.ReportUnsolicitedData(connection.host(), now);
   if (observer_ != nullptr) {
-    observer_->OnUnasked({connection.host(), connection.last_id(), connection.Note(), why, bytes,
-                          suspects_.Count(now), suspects_.AllSuspect(now), wait});
+    observer_->OnUnsolicitedData({connection.host(), connection.last_id(), connection.Info(), why, bytes,
+                                  suspects_.Count(now), suspects_.AllSuspect(now), wait});
   }
-  all_now ? CloseAllIdle() : CloseIdle(std::string(connection.host()));
-  DoubtBeliefs(connection.host(), all_now);
+  all_suspect ? CloseAllIdle() : CloseIdle(std::string(connection.host()));
+  ReportDoubtfulAnswers(connection.host(), all_suspect);
 }
 
-void CallPool::Believed(const Connection& connection, std::uint64_t serial) {
+void CallPool::RecordAcceptedAnswer(const Connection& connection, std::uint64_t serial) {
   const Micros now = loop_.Now();
-  while (!beliefs_.empty() && now - beliefs_.front().at > SuspectEndpoints::kDoubtfulAnswerWindow)
-    beliefs_.pop_front();
-  beliefs_.push_back({connection.host(), serial, now});
+  while (!accepted_answers_.empty() &&
+         now - accepted_answers_.front().at > SuspectEndpoints::kDoubtfulAnswerWindow) {
+    accepted_answers_.pop_front();
+  }
+  accepted_answers_.push_back({connection.host(), serial, now});
 }
 
-void CallPool::NotBelieved(const Connection& connection, DenialReason why, state::AttemptResult said) {
-  ++counts_.not_believed;
-  if (observer_ != nullptr)
-    observer_->OnNotBelieved({connection.host(), connection.last_id(), connection.Note(), said, why});
+void CallPool::ReportRejectedAnswer(const Connection& connection, DenialReason why,
+                                    state::AttemptResult attempt_result) {
+  ++counts_.rejected_answers;
+  if (observer_ != nullptr) {
+    observer_->OnAnswerRejected(
+        {connection.host(), connection.last_id(), connection.Info(), attempt_result, why});
+  }
 }
 
-void CallPool::Break(const Connection& connection, DenialReason why) {
-  ++counts_.breaks;
+void CallPool::ReportTrustViolation(const Connection& connection, DenialReason why) {
+  ++counts_.trust_violations;
   if (observer_ != nullptr)
-    observer_->OnTrustBreak({connection.host(), connection.last_id(), connection.Note(), why});
+    observer_->OnTrustViolation({connection.host(), connection.last_id(), connection.Info(), why});
 }
 
-void CallPool::DoubtBeliefs(const std::string& host, bool all) {
+void CallPool::ReportDoubtfulAnswers(const std::string& host, bool all) {
   const Micros now = loop_.Now();
-  std::vector<std::uint64_t> doubted;
-  for (const Belief& belief : beliefs_) {
-    if (!all && belief.host != host) continue;
-    if (now - belief.at <= SuspectEndpoints::kDoubtfulAnswerWindow) doubted.push_back(belief.serial);
+  std::vector<std::uint64_t> doubtful;
+  for (const AcceptedAnswer& answer : accepted_answers_) {
+    if (!all && answer.host != host) continue;
+    if (now - answer.at <= SuspectEndpoints::kDoubtfulAnswerWindow) doubtful.push_back(answer.serial);
   }
-  std::erase_if(beliefs_, [&](const Belief& belief) { return all || belief.host == host; });
-  counts_.doubted += doubted.size();
-  if (observer_ != nullptr && !doubted.empty()) observer_->OnDoubted(doubted);
+  std::erase_if(accepted_answers_, [&](const AcceptedAnswer& answer) { return all || answer.host == host; });
+  counts_.doubtful_answers += doubtful.size();
+  if (observer_ != nullptr && !doubtful.empty()) observer_->OnAnswersDoubtful(doubtful);
 }
 
 }  // namespace indigosaddle::net
--- a/src/net/call_reports.h
+++ b/src/net/call_reports.h
@@ -1,4 +1,4 @@
-// What a pool of calls tells: how a call ended, and what it saw on its connections.
+// What a CallPool reports: the result of each call, and events on its connections to endpoints.
 #pragma once
 
 #include <array>
@@ -12,66 +12,74 @@
 
 namespace indigosaddle::net {
 
-// A connection as a report names it.
-struct ConnectionNote {
-  std::uint64_t number = 0;  // since the start
+// Describes a connection in a report.
+struct ConnectionInfo {
+  std::uint64_t number = 0;  // counted since the start of the process
   ConnectionState state = ConnectionState::kConnecting;
-  std::uint64_t calls = 0;  // that it has carried
-  Micros age{0};
-  Micros in_state{0};  // since it came into its state
+  std::uint64_t calls = 0;  // calls that it has carried
+  Micros age{0};            // since it was created
+  Micros in_state{0};       // since it entered its state
 };
 
+// The result of one call.
 struct CallResult {
   std::uint64_t serial = 0;
-  state::AttemptResult ending = state::AttemptResult::kNotStarted;
-  Micros latency{0}, wait{0};
+  state::AttemptResult attempt_result = state::AttemptResult::kNotStarted;
+  Micros latency{0}, wait{0};  // `wait`: Retry-After of the answer; zero: none
   LoadReport load;
-  ConnectionNote connection{};
+  ConnectionInfo connection{};
 };
 
-// Bytes that no call on their connection has asked for, or not these alone.
-struct UnaskedBytes {
-  std::string endpoint, last_id;  // last_id: of the latest call on the connection
-  ConnectionNote connection;
+// Bytes that arrived on a connection and belong to no call on it, or not to that call alone.
+struct UnsolicitedData {
+  std::string endpoint, last_id;  // `last_id`: message of the latest call on the connection
+  ConnectionInfo connection;
   DenialReason why = DenialReason::kNone;
-  std::size_t bytes = 0, suspects = 0;
-  bool all_suspect = false;
-  Micros wait{0};  // that they tell, if any
+  std::size_t bytes = 0, suspects = 0;  // `suspects`: endpoints that are suspect now
+  bool all_suspect = false;             // all endpoints are suspect now
+  Micros wait{0};                       // Retry-After in these bytes; zero: none
 };
 
-// An answer that ends its call as one that may have run, or that never left.
-struct DisbelievedAnswer {
+// An answer that was not accepted. Its call ends as one that may have run, or as one that was never sent.
+struct RejectedAnswer {
   std::string endpoint, id;
-  ConnectionNote connection;
-  state::AttemptResult said = state::AttemptResult::kMalformedResponse;
+  ConnectionInfo connection;
+  // What the answer would have meant.
+  state::AttemptResult attempt_result = state::AttemptResult::kMalformedResponse;
   DenialReason why = DenialReason::kNone;
 };
 
+// A connection that was closed, or that was used although that was denied.
 struct ClosedConnection {
-  std::string endpoint, last_id;
-  ConnectionNote connection;
-  DenialReason why = DenialReason::kNone;  // kNone: for another reason than what was seen on it
+  std::string endpoint, last_id;  // `last_id`: message of the latest call on the connection
+  ConnectionInfo connection;
+  DenialReason why = DenialReason::kNone;  // kNone: closed for a reason that was not observed on it
 };
 
+// Receives the events of a CallPool.
 class CallObserver {
  public:
   virtual ~CallObserver() = default;
-  virtual void OnUnasked(const UnaskedBytes& unasked) = 0;
-  virtual void OnNotBelieved(const DisbelievedAnswer& answer) = 0;
+  virtual void OnUnsolicitedData(const UnsolicitedData& data) = 0;
+  virtual void OnAnswerRejected(const RejectedAnswer& answer) = 0;
   virtual void OnConnectionClosed(const ClosedConnection& closed) = 0;
-  // Answers that ended these messages were believed, and are doubtful by now.
-  virtual void OnDoubted(const std::vector<std::uint64_t>& serials) = 0;
-  // A connection was used for what it may not be used for: a fault of the program.
-  virtual void OnTrustBreak(const ClosedConnection& connection) = 0;
+  // These messages were ended by answers that were accepted, but are doubtful since unsolicited data came.
+  virtual void OnAnswersDoubtful(const std::vector<std::uint64_t>& serials) = 0;
+  // A connection was used in a way that CheckConnectionUse denies: a fault of the program.
+  virtual void OnTrustViolation(const ClosedConnection& connection) = 0;
 };
 
-using DistrustCounts = std::array<std::uint64_t, kDenialReasons>;
+// A number for each DenialReason, indexed by its value.
+using DenialCounts = std::array<std::uint64_t, kDenialReasons>;
 
+// Counts since the start of the process.
 struct CallCounts {
+  // Connections opened, calls on a kept connection, and calls whose last byte was written.
   std::uint64_t opened = 0, reused = 0, written = 0;
-  std::uint64_t unasked = 0, not_believed = 0, doubted = 0, breaks = 0;
-  DistrustCounts closed{};      // connections, by why
-  DistrustCounts not_reused{};  // connections opened although one was idle, by why that one was not taken
+  // Reports of unsolicited data, answers rejected, messages with a doubtful answer, and trust violations.
+  std::uint64_t unsolicited = 0, rejected_answers = 0, doubtful_answers = 0, trust_violations = 0;
+  DenialCounts closed{};      // closed connections, by reason
+  DenialCounts not_reused{};  // connections opened while one was idle, by the reason for not using that one
 };
 
 }  // namespace indigosaddle::net
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -74,11 +74,11 @@
   static Action CallAction(const state::PendingMessage& owed);  // a first call, or one more
   void OnCallEnded(const net::CallResult& result);
   // What the pool sees on its connections (node_connections.cpp).
-  void OnUnasked(const net::UnaskedBytes& unasked) override;
-  void OnNotBelieved(const net::DisbelievedAnswer& answer) override;
+  void OnUnsolicitedData(const net::UnsolicitedData& unasked) override;
+  void OnAnswerRejected(const net::RejectedAnswer& answer) override;
   void OnConnectionClosed(const net::ClosedConnection& closed) override;
-  void OnDoubted(const std::vector<std::uint64_t>& serials) override;
-  void OnTrustBreak(const net::ClosedConnection& connection) override;
+  void OnAnswersDoubtful(const std::vector<std::uint64_t>& serials) override;
+  void OnTrustViolation(const net::ClosedConnection& connection) override;
   std::string ConnectionFigures() const;
   nlohmann::json ConnectionStatus() const;
   void ReportConnections();
--- a/src/node/node_connections.cpp
+++ b/src/node/node_connections.cpp
@@ -11,30 +11,32 @@
 
 namespace indigosaddle::node {
 
-void Node::OnUnasked(const net::UnaskedBytes& unasked) {
-  const net::ConnectionNote& connection = unasked.connection;
+void Node::OnUnsolicitedData(const net::UnsolicitedData& unasked) {
+  const net::ConnectionInfo& connection = unasked.connection;
   log_.Write(base::kConnectionUnasked, unasked.endpoint, connection.number, NameOf(connection.state),
              connection.age, connection.in_state, connection.calls, unasked.last_id, NameOf(unasked.why),
              unasked.bytes, unasked.suspects, unasked.all_suspect);
   if (unasked.wait > Micros(0)) Push(state::RetryAfterReceived{unasked.endpoint, unasked.wait});
 }
 
-void Node::OnNotBelieved(const net::DisbelievedAnswer& answer) {
-  const net::ConnectionNote& connection = answer.connection;
+void Node::OnAnswerRejected(const net::RejectedAnswer& answer) {
+  const net::ConnectionInfo& connection = answer.connection;
   log_.Write(base::kAnswerNotBelieved, answer.id, answer.endpoint, connection.number,
-             NameOf(connection.state), connection.age, connection.calls, state::NameOf(answer.said),
+             NameOf(connection.state), connection.age, connection.calls, state::NameOf(answer.attempt_result),
              NameOf(answer.why));
 }
 
 void Node::OnConnectionClosed(const net::ClosedConnection& closed) {
-  const net::ConnectionNote& connection = closed.connection;
+  const net::ConnectionInfo& connection = closed.connection;
   log_.Write(base::kConnectionClosed, closed.endpoint, connection.number, NameOf(closed.why),
              NameOf(connection.state), connection.age, connection.in_state, connection.calls, closed.last_id);
 }
 
-void Node::OnDoubted(const std::vector<std::uint64_t>& serials) { Push(state::AnswersInDoubt{serials}); }
+void Node::OnAnswersDoubtful(const std::vector<std::uint64_t>& serials) {
+  Push(state::AnswersInDoubt{serials});
+}
 
-void Node::OnTrustBreak(const net::ClosedConnection& connection) {
+void Node::OnTrustViolation(const net::ClosedConnection& connection) {
   log_.Write(base::kTrustBreak, connection.endpoint, connection.connection.number,
              NameOf(connection.connection.state), NameOf(connection.why));
 #ifdef INDIGOSADDLE_CHECKED
@@ -44,9 +46,9 @@
 
 void Node::ReportConnections() {
   const net::CallCounts& counts = pool_.counts();
-  log_.Write(base::kConnectionReport, counts.opened, counts.reused, counts.unasked, counts.not_believed,
-             counts.doubted, pool_.suspects(), pool_.all_suspect(), CountsByName<DenialReason>(counts.closed),
-             CountsByName<DenialReason>(counts.not_reused));
+  log_.Write(base::kConnectionReport, counts.opened, counts.reused, counts.unsolicited,
+             counts.rejected_answers, counts.doubtful_answers, pool_.suspects(), pool_.all_suspect(),
+             CountsByName<DenialReason>(counts.closed), CountsByName<DenialReason>(counts.not_reused));
 }
 
 // In the form of the other figures.
@@ -56,19 +58,19 @@
       "app.connections_opened:{}|c\napp.connections_reused:{}|c\napp.connection_unasked:{}|c\n"
       "app.answers_not_believed:{}|c\napp.messages_doubted:{}|c\napp.suspect_endpoints:{}|g\n"
       "app.connection_breaks:{}|c\n",
-      counts.opened, counts.reused, counts.unasked, counts.not_believed, counts.doubted, pool_.suspects(),
-      counts.breaks);
+      counts.opened, counts.reused, counts.unsolicited, counts.rejected_answers, counts.doubtful_answers,
+      pool_.suspects(), counts.trust_violations);
 }
 
 nlohmann::json Node::ConnectionStatus() const {
   const net::CallCounts& counts = pool_.counts();
   return {{"reused", counts.reused},
-          {"unasked", counts.unasked},
-          {"not_believed", counts.not_believed},
-          {"doubted", counts.doubted},
+          {"unasked", counts.unsolicited},
+          {"not_believed", counts.rejected_answers},
+          {"doubted", counts.doubtful_answers},
           {"suspects", pool_.suspects()},
           {"all_suspect", pool_.all_suspect()},
-          {"breaks", counts.breaks},
+          {"breaks", counts.trust_violations},
           {"closed", CountsByName<DenialReason>(counts.closed)},
           {"not_reused", CountsByName<DenialReason>(counts.not_reused)}};
 }
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -102,9 +102,10 @@
 }
 
 void Node::OnCallEnded(const net::CallResult& result) {
-  ++endings_[static_cast<std::size_t>(result.ending)];
+  ++endings_[static_cast<std::size_t>(result.attempt_result)];
   LogCall(result);
-  Push(state::CallEnded{result.serial, result.ending, result.latency, result.wait, result.load, loop_.Now()});
+  Push(state::CallEnded{result.serial, result.attempt_result, result.latency, result.wait, result.load,
+                        loop_.Now()});
 }
 
 }  // namespace indigosaddle::node
--- a/src/node/node_log.cpp
+++ b/src/node/node_log.cpp
@@ -105,14 +105,14 @@
   const state::PendingMessage& owed = found->second;
   const auto attempt = static_cast<std::uint64_t>(owed.past.attempts);
   const std::string rules = Describe(owed.message.rules);
-  if (result.ending == state::AttemptResult::kDelivered) {
+  if (result.attempt_result == state::AttemptResult::kDelivered) {
     log_.Write(base::kCallDelivered, owed.message.id, owed.message.destination, owed.endpoint, attempt,
-               state::NameOf(result.ending), result.latency, result.wait, rules, result.connection.number,
-               result.connection.calls, result.connection.age);
+               state::NameOf(result.attempt_result), result.latency, result.wait, rules,
+               result.connection.number, result.connection.calls, result.connection.age);
   } else {
     log_.Write(base::kCallEnded, owed.message.id, owed.message.destination, owed.endpoint, attempt,
-               state::NameOf(result.ending), result.latency, result.wait, rules, result.connection.number,
-               result.connection.calls, result.connection.age);
+               state::NameOf(result.attempt_result), result.latency, result.wait, rules,
+               result.connection.number, result.connection.calls, result.connection.age);
   }
 }
 
--- a/tests/call_endings.h
+++ b/tests/call_endings.h
@@ -62,7 +62,7 @@
   AttemptResult RunToAnEnd() {
     const std::size_t before = results.size();
     while (results.size() == before) loop.Run();
-    return results.back().ending;
+    return results.back().attempt_result;
   }
   // Whether the node's side of the connection is closed at this instant.
   static bool Closed(const Socket& socket) {
--- a/tests/call_pool_copies_test.cpp
+++ b/tests/call_pool_copies_test.cpp
@@ -30,14 +30,14 @@
   Micros unasked_wait{0};
 
  private:
-  void OnUnasked(const net::UnaskedBytes& said) override {
+  void OnUnsolicitedData(const net::UnsolicitedData& said) override {
     ++unasked;
     unasked_wait = said.wait;
   }
-  void OnNotBelieved(const net::DisbelievedAnswer&) override { ++not_believed; }
+  void OnAnswerRejected(const net::RejectedAnswer&) override { ++not_believed; }
   void OnConnectionClosed(const net::ClosedConnection&) override {}
-  void OnDoubted(const std::vector<std::uint64_t>& serials) override { doubted = serials; }
-  void OnTrustBreak(const net::ClosedConnection&) override { FAIL(); }
+  void OnAnswersDoubtful(const std::vector<std::uint64_t>& serials) override { doubted = serials; }
+  void OnTrustViolation(const net::ClosedConnection&) override { FAIL(); }
 };
 
 // Guards against a message that ends by a copy, whose own answer nobody heeds any more.
--- a/tests/call_pool_test.cpp
+++ b/tests/call_pool_test.cpp
@@ -106,7 +106,7 @@
   ASSERT_TRUE(socket.Write(Answer(200)));
   std::this_thread::sleep_for(milliseconds(400));
   RunToAnEnd();
-  EXPECT_EQ(results.back().ending, state::AttemptResult::kDelivered);
+  EXPECT_EQ(results.back().attempt_result, state::AttemptResult::kDelivered);
 }
 
 TEST_F(CallPoolTest, ABodyThatIsStillComingHoldsUpOnlyItsConnection) {
@@ -114,7 +114,7 @@
   Socket socket = Accept();
   ASSERT_TRUE(socket.Write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"));
   RunToAnEnd();
-  EXPECT_EQ(results.back().ending, state::AttemptResult::kDelivered);
+  EXPECT_EQ(results.back().attempt_result, state::AttemptResult::kDelivered);
   Start("s-1");
   EXPECT_EQ(pool.opened(), 2u);
   Socket second = Accept();
--- a/tests/call_pool_unread_test.cpp
+++ b/tests/call_pool_unread_test.cpp
@@ -33,7 +33,7 @@
                   last_byte_within == Micros::max() ? Micros::max() : loop.Now() + last_byte_within);
             },
             [this](const net::CallResult& result) {
-              ended = result.ending;
+              ended = result.attempt_result;
               loop.Stop();
             }) {
     setsockopt(listener.get(), SOL_SOCKET, SO_RCVBUF, &kReceiveBuffer, sizeof kReceiveBuffer);
--- a/tests/net_odd_answer_test.cpp
+++ b/tests/net_odd_answer_test.cpp
@@ -16,23 +16,23 @@
 TEST(OddWait, AWaitThatCantBeReadIsNotNone) {
   for (const char* odd :
        {"", "  ", "abc", "-5", "nan", "inf", "-inf", "1e999", "5s", "0x10", "5 5", "soon,", ",", "--1"})
-    EXPECT_EQ(ParseWait(odd), kUnreadableWait) << odd;
+    EXPECT_EQ(ParseRetryAfter(odd), kUnreadableRetryAfter) << odd;
 }
 
 TEST(OddWait, AGoodOneIsHeededWhateverItsSize) {
-  EXPECT_EQ(ParseWait("0"), Micros(0));
-  EXPECT_EQ(ParseWait(" 250 "), milliseconds(250));
-  EXPECT_EQ(ParseWait("0.5"), Micros(500));
-  EXPECT_EQ(ParseWait("60000"), milliseconds(60000));
-  EXPECT_EQ(ParseWait("1e300"), milliseconds(1'000'000'000));  // as long as a wait may be
+  EXPECT_EQ(ParseRetryAfter("0"), Micros(0));
+  EXPECT_EQ(ParseRetryAfter(" 250 "), milliseconds(250));
+  EXPECT_EQ(ParseRetryAfter("0.5"), Micros(500));
+  EXPECT_EQ(ParseRetryAfter("60000"), milliseconds(60000));
+  EXPECT_EQ(ParseRetryAfter("1e300"), milliseconds(1'000'000'000));  // as long as a wait may be
 }
 
 // Of two waits the last was heeded, however short.
 TEST(OddWait, OfSeveralTheLongestIsHeeded) {
-  EXPECT_EQ(ParseWait("5000, 0"), milliseconds(5000));
-  EXPECT_EQ(ParseWait("0, 5000"), milliseconds(5000));
-  EXPECT_EQ(ParseWait("5000, abc"), milliseconds(5000));
-  EXPECT_EQ(ParseWait("5, abc"), kUnreadableWait);
+  EXPECT_EQ(ParseRetryAfter("5000, 0"), milliseconds(5000));
+  EXPECT_EQ(ParseRetryAfter("0, 5000"), milliseconds(5000));
+  EXPECT_EQ(ParseRetryAfter("5000, abc"), milliseconds(5000));
+  EXPECT_EQ(ParseRetryAfter("5, abc"), kUnreadableRetryAfter);
 }
 
 // The last line of a header stood for all.
@@ -54,21 +54,21 @@
 // A report that says one thing twice was believed in its last: a limit that may be the larger of two.
 TEST(OddReport, AReportThatContradictsItselfIsNotBelieved) {
   for (const char* odd : {"x0=0.4,x1=25,x1=1000", "x0=0.4,x1=25, x0=0.9,x1=25", "x1=25,x1=25"}) {
-    EXPECT_EQ(ParseLoad(odd).left, -1) << odd;
-    EXPECT_EQ(ParseLoad(odd).limit, -1) << odd;
+    EXPECT_EQ(ParseLoadReport(odd).left, -1) << odd;
+    EXPECT_EQ(ParseLoadReport(odd).limit, -1) << odd;
   }
 }
 
 // A report in part tells its part and nothing more; one of which a part can't be read tells nothing.
 TEST(OddReport, APartIsNoWhole) {
-  EXPECT_EQ(ParseLoad("x0=0.4").left, 0.4);
-  EXPECT_EQ(ParseLoad("x0=0.4").limit, -1);
-  EXPECT_EQ(ParseLoad("x1=25").left, -1);
-  EXPECT_EQ(ParseLoad("x1=25").limit, 25);
+  EXPECT_EQ(ParseLoadReport("x0=0.4").left, 0.4);
+  EXPECT_EQ(ParseLoadReport("x0=0.4").limit, -1);
+  EXPECT_EQ(ParseLoadReport("x1=25").left, -1);
+  EXPECT_EQ(ParseLoadReport("x1=25").limit, 25);
   for (const char* odd : {"x0=0.4,x1=", "x0=0.4,x1=-25", "x0=0.4,x1=2e9", "x0=0.4,x1=25;", "x0=-1,x1=25",
                           "x0=0.4,x1", "x0=0.4,x1=inf"}) {
-    EXPECT_EQ(ParseLoad(odd).left, -1) << odd;
-    EXPECT_EQ(ParseLoad(odd).limit, -1) << odd;
+    EXPECT_EQ(ParseLoadReport(odd).left, -1) << odd;
+    EXPECT_EQ(ParseLoadReport(odd).limit, -1) << odd;
   }
 }
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -138,12 +138,12 @@
 }
 
 TEST(Report, ReadsWhatItKnows) {
-  EXPECT_EQ(ParseLoad("x0=0.4,x1=25").left, 0.4);
-  EXPECT_EQ(ParseLoad("x0=0.4, x1=25").limit, 25);
-  EXPECT_EQ(ParseLoad("cpu=1,x1=3").left, -1);
+  EXPECT_EQ(ParseLoadReport("x0=0.4,x1=25").left, 0.4);
+  EXPECT_EQ(ParseLoadReport("x0=0.4, x1=25").limit, 25);
+  EXPECT_EQ(ParseLoadReport("cpu=1,x1=3").left, -1);
   for (const char* bad : {"", "x0", "x0=", "x0=a,", "=,=", "x0=nan", ",,,"}) {
-    EXPECT_EQ(ParseLoad(bad).left, -1) << bad;
-    EXPECT_EQ(ParseLoad(bad).limit, -1) << bad;
+    EXPECT_EQ(ParseLoadReport(bad).left, -1) << bad;
+    EXPECT_EQ(ParseLoadReport(bad).limit, -1) << bad;
   }
 }
 
