--- a/src/net/backoff.h
+++ b/src/net/backoff.h
@@ -1,6 +1,6 @@
-// How long to wait before something is tried again: capped exponential back-off with full jitter. Many nodes
-// that lost the same thing in one instant must not ask for it again in one instant, nor keep a server that
-// refuses them busy with refusing. No I/O; the same seed gives the same waits.
+// Delays before retries: capped exponential back-off with jitter. It keeps many nodes that lost the same
+// service at the same moment from asking for it again all at once, and from keeping a server that refuses
+// them busy with refusing. No I/O; the same seed gives the same delays.
 #pragma once
 
 #include <cstdint>
@@ -10,31 +10,38 @@
 
 namespace indigosaddle::net {
 
+// Draws the delays before the retries of one operation.
 class Backoff {
  public:
-  // Waits are drawn evenly from `least` up to a ceiling that starts at twice that and doubles up to `most`.
-  Backoff(Micros least, Micros most, std::uint64_t seed);
+  // Delays are drawn evenly from `min_delay` up to a ceiling that starts at twice that and doubles up to
+  // `max_delay`.
+  Backoff(Micros min_delay, Micros max_delay, std::uint64_t seed);
 
-  Micros Next();
-  void Reset();                // it worked: the next failure starts anew
-  Micros Within(Micros most);  // drawn evenly from zero up, whatever failed before
+  // The delay before the next retry. Raises the ceiling.
+  Micros NextDelay();
+  // The operation succeeded: the ceiling starts at its first value again.
+  void Reset();
+  // Drawn evenly from zero to `max_jitter`, independently of earlier failures.
+  Micros Jitter(Micros max_jitter);
 
  private:
-  Micros least_, most_, ceiling_;
+  Micros min_delay_, max_delay_, ceiling_;
   std::mt19937_64 random_;
 };
 
-// How a node asks discovery where each request costs that work. Nodes that come back too soon keep it
-// refusing all of them, however long: so what one node alone may ask in a moment, each of many asks in as
-// many moments.
-struct AskPace {
-  Micros spread{0};          // the first request after a start or a lost watch comes within so long
-  Micros least{0}, most{0};  // until a refused one is repeated
-  Micros patience{0};        // with a request whose answer has not begun, at first
+// Timing of a node's requests to discovery. Nodes that retry too soon keep an overloaded discovery refusing
+// all of them, however long it lasts. So the rate that one node alone may use is shared by all: with many
+// nodes, each waits that many times as long.
+struct RequestPacing {
+  // Limit of the random delay before the first request after a start or a lost watch.
+  Micros initial_jitter{0};
+  Micros min_retry_delay{0}, max_retry_delay{0};  // before a refused request is repeated
+  Micros response_timeout{0};                     // at first, until the response begins
 };
 
-// `must_ask_in`: a node that has not asked for so long counts as told, and zero where requests cost discovery
-// nothing and may come as soon as one node's. Whatever it is, a refused node asks again within 4 s.
-AskPace PaceOfAsking(int senders, Micros must_ask_in);
+// `must_ask_in`: a node that has not asked for this long counts as knowing the list. Zero where requests cost
+// discovery nothing: they may then come as soon as those of a single node. In any case a node that was
+// refused asks again within 4 s.
+RequestPacing RequestPacingFor(int senders, Micros must_ask_in);
 
 }  // namespace indigosaddle::net
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -9,106 +9,112 @@
 namespace indigosaddle::net {
 namespace {
 
-constexpr std::size_t kMostText = std::size_t{8} * 1024 * 1024;  // of one list or line
-// What discovery has to tell counts as told 6 s after it had it and could be reached, whatever went before. A
-// line comes every 2 s; a watch without one is broken, and its next request has these bounds of its own.
-// docs/design/005-endings.md adds them up for each way in which an answer fails to come.
-constexpr Micros kSilent = std::chrono::milliseconds(3100);     // a standing watch, since its last whole line
-constexpr Micros kMostPatience = std::chrono::seconds(3);       // with a request whose answer has not begun
-constexpr Micros kFirstLine = std::chrono::milliseconds(2600);  // from asking to the first whole line or list
-const AskPace kAlone = PaceOfAsking(1, Micros(0));              // where waiting spares discovery nothing
+constexpr std::size_t kMaxTextBytes = std::size_t{8} * 1024 * 1024;  // of a list or a line
+// A node counts as knowing a change 6 s after discovery had it and was reachable, whatever happened before. A
+// watch gets a line every 2 s; one without is broken, and the request that replaces it has the other two
+// timeouts. docs/design/005-endings.md adds them up for each way in which a response can fail to come.
+// Of an open watch, since its last complete line.
+constexpr Micros kWatchLineTimeout = std::chrono::milliseconds(3100);
+// From the request until the response begins.
+constexpr Micros kMaxResponseTimeout = std::chrono::seconds(3);
+// From the request to the first complete line or list.
+constexpr Micros kFirstUpdateTimeout = std::chrono::milliseconds(2600);
+// For failures after which a retry costs discovery nothing.
+const RequestPacing kSingleNodePacing = RequestPacingFor(1, Micros(0));
 
 }  // namespace
 
-Discovery::Discovery(Loop& loop, Handler& handler, std::string address, const AskPace& pace,
+Discovery::Discovery(Loop& loop, Handler& handler, std::string address, const RequestPacing& pacing,
                      std::uint64_t seed)
     : loop_(loop),
       handler_(&handler),
       address_(std::move(address)),
       reader_(std::numeric_limits<std::size_t>::max(), [this](std::string_view bytes) { OnBody(bytes); }),
-      silence_(loop, [this] { OnSilence(); }),
-      again_(loop,
-             [this] {
-               due_ = false;
-               buried_.reset();
-               Ask();
-             }),
-      spread_(pace.spread),
-      lost_(kAlone.least, kAlone.most, seed),
-      refused_(pace.least, pace.most, seed + 1),
-      first_patience_(pace.patience),
-      patience_(first_patience_) {}
-
-// Without a list nothing can be delivered, so that one is asked for at once.
-void Discovery::Start(std::optional<std::uint64_t> held) {
-  version_ = held;
-  clock_.OnNoAnswer(loop_.Now());  // what this process could have been told begins here
-  held ? AskIn(lost_.Within(spread_)) : Ask();
+      response_timer_(loop, [this] { OnResponseTimeout(); }),
+      request_timer_(loop,
+                     [this] {
+                       request_scheduled_ = false;
+                       closed_stream_.reset();
+                       SendRequest();
+                     }),
+      initial_jitter_(pacing.initial_jitter),
+      failure_backoff_(kSingleNodePacing.min_retry_delay, kSingleNodePacing.max_retry_delay, seed),
+      refusal_backoff_(pacing.min_retry_delay, pacing.max_retry_delay, seed + 1),
+      initial_response_timeout_(pacing.response_timeout),
+      response_timeout_(initial_response_timeout_) {}
+
+// Without a list nothing can be delivered, so a node that holds none asks for it without jitter.
+void Discovery::Start(std::optional<std::uint64_t> held_version) {
+  version_ = held_version;
+  clock_.OnNoResponse(loop_.Now());  // the 6 s begin no earlier than this process
+  held_version ? ScheduleRequest(failure_backoff_.Jitter(initial_jitter_)) : SendRequest();
 }
 
-// A repeat that is due comes at its own time: asked for at once, it would come in step with all other nodes'.
+// A scheduled request keeps its time: sent at once, it would coincide with those of all other nodes.
 void Discovery::Renew() {
-  if (stream_ == nullptr && !due_) AskIn(Micros(0));
+  if (stream_ == nullptr && !request_scheduled_) ScheduleRequest(Micros(0));
 }
 
-void Discovery::AskIn(Micros wait) {
-  due_ = true;
-  again_.Start(wait);
+void Discovery::ScheduleRequest(Micros delay) {
+  request_scheduled_ = true;
+  request_timer_.Start(delay);
 }
 
-void Discovery::Ask() {
+void Discovery::SendRequest() {
   if (stream_ != nullptr) return;
   watching_ = version_.has_value();
   text_.clear();
   nesting_ = {};
   reader_.Reset();
   stream_ = std::make_unique<Stream>(loop_, static_cast<Stream::Listener&>(*this));
-  asked_at_ = loop_.Now();
-  up_ = headed_ = answered_ = false;
-  silence_.Start(patience_);
-  if (stream_->Connect(address_) != 0) Lost("can't connect", Loss::kUnreached);
+  requested_at_ = loop_.Now();
+  connected_ = head_received_ = update_received_ = false;
+  response_timer_.Start(response_timeout_);
+  if (stream_->Connect(address_) != 0) OnFailure("can't connect", Failure::kNoResponse);
 }
 
 void Discovery::OnConnected(int error) {
-  if (error != 0) return Lost(uv_strerror(error), Loss::kUnreached);
-  up_ = true;
+  if (error != 0) return OnFailure(uv_strerror(error), Failure::kNoResponse);
+  connected_ = true;
   const std::string path =
       watching_ ? fmt::format("/catalog/members?watch=1&from={}", *version_) : "/catalog/members";
   if (stream_->StartReading() != 0 ||
       stream_->Write(fmt::format("GET {} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n", path,
                                  address_)) != 0) {
-    Lost("can't ask");
+    OnFailure("can't ask");
   }
 }
 
 void Discovery::OnBytes(std::string_view bytes) {
   if (stream_ == nullptr) return;
-  const bool good = reader_.Read(bytes);
-  if (stream_ == nullptr) return;  // lost while the body was read
+  const bool valid = reader_.Read(bytes);
+  if (stream_ == nullptr) return;  // the body made it fail
   if (reader_.head_done() && reader_.status() != 200)
-    return Lost(fmt::format("status {}", reader_.status()), Loss::kRefused);
+    return OnFailure(fmt::format("status {}", reader_.status()), Failure::kRefused);
   if (!reader_.done()) {
-    if (!good) return Lost("unreadable", Loss::kUnreadable);
-    if (reader_.head_done() && !answered_ && !std::exchange(headed_, true))
-      silence_.Start(std::max(Micros(0), asked_at_ + std::max(patience_, kFirstLine) - loop_.Now()));
+    if (!valid) return OnFailure("unreadable", Failure::kMalformed);
+    if (reader_.head_done() && !update_received_ && !std::exchange(head_received_, true)) {
+      response_timer_.Start(std::max(
+          Micros(0), requested_at_ + std::max(response_timeout_, kFirstUpdateTimeout) - loop_.Now()));
+    }
     return;
   }
-  if (watching_) return Lost("the watch ended");
-  Take(std::exchange(text_, {}));
-  if (!version_) return Lost("no whole list that can be read", Loss::kUnreadable);
+  if (watching_) return OnFailure("the watch ended");
+  HandleUpdate(std::exchange(text_, {}));
+  if (!version_) return OnFailure("no whole list that can be read", Failure::kMalformed);
   if (stream_ == nullptr) return;
-  // On with the watch, on a connection of its own.
-  Drop();
-  AskIn(Micros(0));
+  // The watch follows, on a new connection.
+  CloseStream();
+  ScheduleRequest(Micros(0));
 }
 
-void Discovery::OnSilence() {
-  if (up_ && stream_ != nullptr && RestartIfUnread(silence_, *stream_)) return;
-  Lost("silent", answered_ ? Loss::kSilent : Loss::kUnreached);
+void Discovery::OnResponseTimeout() {
+  if (connected_ && stream_ != nullptr && RestartIfUnread(response_timer_, *stream_)) return;
+  OnFailure("silent", update_received_ ? Failure::kTimedOut : Failure::kNoResponse);
 }
 
 void Discovery::OnEnd(int error) {
-  if (stream_ != nullptr) Lost(uv_strerror(error));
+  if (stream_ != nullptr) OnFailure(uv_strerror(error));
 }
 
 void Discovery::OnBody(std::string_view bytes) {
@@ -119,73 +125,79 @@
     while (!bytes.empty() && stream_ != nullptr) {
       const std::size_t end = bytes.find('\n');
       text_.append(bytes.substr(0, end));
-      nesting_.Take(bytes.substr(0, end));
+      nesting_.Add(bytes.substr(0, end));
       if (end == std::string_view::npos) break;
       bytes.remove_prefix(end + 1);
       if (nesting_.open()) continue;
-      silence_.Start(kSilent);
+      response_timer_.Start(kWatchLineTimeout);
       while (!text_.empty() && text_.back() == '\r') text_.pop_back();
-      text_.empty() ? Life() : Take(std::exchange(text_, {}));
+      text_.empty() ? OnConfirmed() : HandleUpdate(std::exchange(text_, {}));
     }
   }
-  if (text_.size() > kMostText && stream_ != nullptr) Lost("a list that is too long", Loss::kUnreadable);
+  if (text_.size() > kMaxTextBytes && stream_ != nullptr)
+    OnFailure("a list that is too long", Failure::kMalformed);
 }
 
-void Discovery::Take(std::string_view json) {
-  std::optional<MemberNews> news = ParseMembers(json);
-  // A watch begins with what changed since, or with the whole list; from then on it never goes back.
-  const bool may_be_older = !watching_ || (news && news->whole && !answered_);
-  const bool old = news && !may_be_older && news->version < *version_;
-  if (!news || old) {
-    version_.reset();  // what was missed is in the whole list
-    if (watching_) Lost(old ? "news older than the list" : "unreadable line", Loss::kUnreadable);
+void Discovery::HandleUpdate(std::string_view json) {
+  std::optional<MemberListUpdate> update = ParseMembers(json);
+  // A watch begins with the changes since `version_` or with the whole list, whose version may be lower.
+  // After that, versions never decrease.
+  const bool may_be_older = !watching_ || (update && update->whole && !update_received_);
+  const bool outdated = update && !may_be_older && update->version < *version_;
+  if (!update || outdated) {
+    version_.reset();  // the whole list contains what was missed
+    if (watching_) OnFailure(outdated ? "news older than the list" : "unreadable line", Failure::kMalformed);
     return;
   }
-  const bool follows = watching_ || news->whole;  // a part of the list is no whole one
-  const bool incomplete = !news->whole && news->incomplete;
-  if (follows) {
-    version_ = news->version;
-    Life();
+  const bool usable = watching_ || update->whole;  // a change in place of the whole list is not enough
+  const bool incomplete = !update->whole && update->incomplete;
+  if (usable) {
+    version_ = update->version;
+    OnConfirmed();
   }
-  handler_->OnMembers(std::move(*news));
-  if (!follows || !incomplete || stream_ == nullptr) return;
+  handler_->OnMembers(std::move(*update));
+  if (!usable || !incomplete || stream_ == nullptr) return;
   version_.reset();
-  Lost("a change with an entry that can't be read", Loss::kUnreadable);
+  OnFailure("a change with an entry that can't be read", Failure::kMalformed);
 }
 
-// One that refuses may have too many callers: it is left alone for longer each time. A watch that ends may
-// have ended for all nodes in this instant. One that was silent has used up much of the time by which a new
-// one must stand.
-void Discovery::Lost(std::string_view reason, Loss loss) {
-  silence_.Stop();
-  Drop();
-  if (loss == Loss::kRefused) {
+// A discovery that refuses may be overloaded, so each refusal lengthens the delay. A watch that ended may
+// have ended for all nodes at this instant, so the delay gets jitter. A watch that timed out gets none: much
+// of the time by which a new one must be open has passed.
+void Discovery::OnFailure(std::string_view reason, Failure failure) {
+  response_timer_.Stop();
+  CloseStream();
+  if (failure == Failure::kRefused) {
     clock_.OnRefused();
-    AskIn(refused_.Next());
+    ScheduleRequest(refusal_backoff_.NextDelay());
   } else {
-    if (loss == Loss::kUnreadable) clock_.OnRefused();  // it was reached, and may have told of a change
-    if (loss == Loss::kUnreached) {
-      clock_.OnNoAnswer(asked_at_);
-      patience_ = std::min(2 * patience_, kMostPatience);  // it may be slow, and is not to be asked the more
+    if (failure == Failure::kMalformed)
+      clock_.OnRefused();  // it was reachable, and this may have been a change
+    if (failure == Failure::kNoResponse) {
+      clock_.OnNoResponse(requested_at_);
+      // If discovery is slow, more requests would only add to its load.
+      response_timeout_ = std::min(2 * response_timeout_, kMaxResponseTimeout);
     }
-    AskIn(lost_.Next() + (loss == Loss::kEnded ? lost_.Within(spread_) : Micros(0)));
+    ScheduleRequest(failure_backoff_.NextDelay() +
+                    (failure == Failure::kEnded ? failure_backoff_.Jitter(initial_jitter_) : Micros(0)));
   }
   handler_->OnWatchLost(reason, clock_.outdated_from());
 }
 
-// From now on nothing of it is heard, though it may be in one of its callbacks.
-void Discovery::Drop() {
+// No callback of the stream comes any more. It is deleted later, as it may be in one of its callbacks.
+void Discovery::CloseStream() {
   if (stream_ == nullptr) return;
   stream_->Close();
-  buried_ = std::move(stream_);
+  closed_stream_ = std::move(stream_);
 }
 
-// A whole line or list that can be read, and nothing less: bytes that complete nothing tell nothing.
-void Discovery::Life() {
-  answered_ = true;
-  patience_ = first_patience_;
-  lost_.Reset(), refused_.Reset();
-  clock_.OnLife(loop_.Now());
+// A complete line or list arrived and could be read. Bytes that complete neither confirm nothing.
+void Discovery::OnConfirmed() {
+  update_received_ = true;
+  response_timeout_ = initial_response_timeout_;
+  failure_backoff_.Reset();
+  refusal_backoff_.Reset();
+  clock_.OnConfirmed(loop_.Now());
 }
 
 }  // namespace indigosaddle::net
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -1,5 +1,5 @@
-// The list of endpoints: read whole once, then followed by a watch that is renewed whenever it ends or falls
-// silent. Every change is told at once.
+// The client of discovery: reads the list of endpoints whole once, then follows its changes by a watch. A
+// watch that ends or gets no data in time is replaced by a new one. Every update is passed on at once.
 #pragma once
 
 #include <cstdint>
@@ -17,61 +17,70 @@
 
 namespace indigosaddle::net {
 
+// Keeps one request to discovery open or scheduled, each on a connection of its own.
 class Discovery : private Stream::Listener {
  public:
+  // Receives the updates.
   class Handler {
    public:
     virtual ~Handler() = default;
-    virtual void OnMembers(MemberNews news) = 0;
-    // It is already being renewed. `outdated_from`: from then on the list may count as outdated, unless one
-    // comes before; Micros::max() where discovery can't be reached.
+    virtual void OnMembers(MemberListUpdate update) = 0;
+    // The watch or a request failed; the next request is already scheduled. The list counts as outdated from
+    // `outdated_from` on unless an update comes before; Micros::max() while discovery is not reachable.
     virtual void OnWatchLost(std::string_view reason, Micros outdated_from) = 0;
   };
 
-  Discovery(Loop& loop, Handler& handler, std::string address, const AskPace& pace, std::uint64_t seed);
+  // `address`: ip:port of discovery. `seed`: of all random delays. The handler must outlive this.
+  Discovery(Loop& loop, Handler& handler, std::string address, const RequestPacing& pacing,
+            std::uint64_t seed);
 
-  // With the version of the list that is held already: only what changed since is asked for.
-  void Start(std::optional<std::uint64_t> held = std::nullopt);
-  void Renew();                                           // where no watch stands and none is due
-  void TellTo(Handler& handler) { handler_ = &handler; }  // from now on; not within a callback
+  // Starts with the first request. `held_version`: version of the list that the node holds already, so that
+  // only later changes are asked for.
+  void Start(std::optional<std::uint64_t> held_version = std::nullopt);
+  // Sends a request if none is open or scheduled.
+  void Renew();
+  // Passes updates to another handler from now on. Must not be called within a callback.
+  void SetHandler(Handler& handler) { handler_ = &handler; }
 
  private:
-  void Ask();
-  void AskIn(Micros wait);
+  void SendRequest();
+  void ScheduleRequest(Micros delay);
   void OnConnected(int error) override;
   void OnBytes(std::string_view bytes) override;
   void OnEnd(int error) override;
   void OnBody(std::string_view bytes);
-  void OnSilence();
-  enum class Loss : std::uint8_t {
-    kEnded,       // by the other side
-    kUnreadable,  // or not what was asked for: as one that refuses, but asked again as soon
-    kSilent,      // after it had answered
-    kUnreached,   // no answer at all
-    kRefused,     // by its status
+  void OnResponseTimeout();
+  // How a watch or a request failed.
+  enum class Failure : std::uint8_t {
+    kEnded,      // closed by discovery
+    kMalformed,  // unreadable or not what was asked for: outdates the list like a refusal, but retried sooner
+    kTimedOut,   // no data in time, after an update had come
+    kNoResponse,  // not reached, or no update at all in time
+    kRefused,     // a status other than 200
   };
-  void Lost(std::string_view reason, Loss loss = Loss::kEnded);
-  void Drop();
-  void Life();
-  void Take(std::string_view json);
+  void OnFailure(std::string_view reason, Failure failure = Failure::kEnded);
+  void CloseStream();
+  void OnConfirmed();
+  void HandleUpdate(std::string_view json);
 
   Loop& loop_;
   Handler* handler_;
   std::string address_;
   HttpReader reader_;
-  std::unique_ptr<Stream> stream_, buried_;  // buried: may still be in one of its callbacks
-  std::string text_;                         // an object of a watch, or the whole list, so far
-  std::optional<std::uint64_t> version_;     // nothing: the whole list comes next
-  Timer silence_, again_;
-  const Micros spread_;
-  Backoff lost_, refused_;
-  Nesting nesting_;  // of text_, while a line is read
+  std::unique_ptr<Stream> stream_, closed_stream_;  // the closed one may still be in one of its callbacks
+  std::string text_;  // the object of a watch, or the whole list, as far as it has arrived
+  std::optional<std::uint64_t> version_;  // none: the next request is for the whole list
+  Timer response_timer_, request_timer_;
+  const Micros initial_jitter_;
+  Backoff failure_backoff_, refusal_backoff_;
+  JsonNesting nesting_;  // of text_, while a watch is read
   ListClock clock_;
-  Micros asked_at_{0};
-  bool watching_ = false, due_ = false;                  // due: again_ runs
-  bool up_ = false, headed_ = false, answered_ = false;  // connection, answer's head, a whole line or list
-  const Micros first_patience_;
-  Micros patience_;  // with a request until its answer's head is in
+  Micros requested_at_{0};
+  bool watching_ = false, request_scheduled_ = false;
+  bool connected_ = false, head_received_ = false;
+  bool update_received_ = false;  // a complete line or list came on this connection
+  const Micros initial_response_timeout_;
+  Micros response_timeout_;  // of a request until its response's head has arrived
 };
 
 }  // namespace indigosaddle::net
--- a/src/net/list_clock.h
+++ b/src/net/list_clock.h
@@ -1,9 +1,9 @@
-// When what a node knows of the list may have become outdated. No I/O.
+// Computes from when a node's copy of the endpoint list may be outdated. No I/O.
 //
-// A change counts as told 6 s after discovery had it and could be reached, whatever went before. Discovery
-// that does not answer can't be reached; one that refuses can. So a refusal starts nothing anew: what is
-// known holds for those 6 s from the latest instant at which the list was confirmed or discovery was out of
-// reach, and from then on nothing new may be sent until a list has come.
+// A node counts as knowing a change 6 s after discovery had it and was reachable, whatever happened before.
+// Discovery that does not respond is not reachable; discovery that refuses a request is. So a refusal does
+// not restart the 6 s: the list stays valid for 6 s from the latest instant at which it was confirmed or
+// discovery was unreachable. After that nothing new may be sent until a list arrives.
 #pragma once
 
 #include <algorithm>
@@ -13,21 +13,28 @@
 
 namespace indigosaddle::net {
 
-constexpr Micros kToldAfter = std::chrono::seconds(6);
-constexpr Micros kToldMargin = std::chrono::milliseconds(300);  // for the way of what is on its way by then
+// A node counts as knowing a change of the list this long after discovery could be reached with it.
+constexpr Micros kListChangeDeadline = std::chrono::seconds(6);
+// Subtracted from that, for calls that are still on their way at the deadline.
+constexpr Micros kListChangeMargin = std::chrono::milliseconds(300);
 
+// Tracks the validity of one list.
 class ListClock {
  public:
-  void OnLife(Micros now) { sure_at_ = std::max(sure_at_, now), refused_ = false; }  // a whole line or list
-  // A request that was begun at `asked` was not answered at all: discovery may have been out of reach then.
-  void OnNoAnswer(Micros asked) { sure_at_ = std::max(sure_at_, asked); }
-  void OnRefused() { refused_ = true; }  // or answered by what can't be read
-  // From then on the list counts as outdated; Micros::max() while discovery has not been reached.
-  Micros outdated_from() const { return refused_ ? sure_at_ + kToldAfter - kToldMargin : Micros::max(); }
+  // A complete line or list arrived and could be read.
+  void OnConfirmed(Micros now) { confirmed_at_ = std::max(confirmed_at_, now), refused_ = false; }
+  // A request sent at `asked_at` got no response: discovery may have been unreachable at that time.
+  void OnNoResponse(Micros asked_at) { confirmed_at_ = std::max(confirmed_at_, asked_at); }
+  // A request was refused, or its response could not be read.
+  void OnRefused() { refused_ = true; }
+  // The list counts as outdated from then on; Micros::max() while discovery is not reachable.
+  Micros outdated_from() const {
+    return refused_ ? confirmed_at_ + kListChangeDeadline - kListChangeMargin : Micros::max();
+  }
 
  private:
-  Micros sure_at_{0};
-  bool refused_ = false;  // since the latest sign of life
+  Micros confirmed_at_{0};  // the list was confirmed, or discovery unreachable, as late as this
+  bool refused_ = false;    // since the list was last confirmed
 };
 
 }  // namespace indigosaddle::net
--- a/src/net/member_list.cpp
+++ b/src/net/member_list.cpp
@@ -9,53 +9,54 @@
 #include <utility>
 
 #include "net/address.h"
-#include "net/json_once.h"
+#include "net/json_duplicate_names.h"
 
 namespace indigosaddle::net {
 namespace {
 
 using nlohmann::json;
 
-constexpr double kMostShare = 1e9;  // calls a second: more is no rate
+constexpr double kMaxShare = 1e9;  // calls a second; a larger value is not plausible
 
-std::string Text(const json& entry, const char* name) {
+std::string TextField(const json& entry, const char* name) {
   const auto it = entry.find(name);
   return it != entry.end() && it->is_string() ? it->get<std::string>() : std::string();
 }
 
-// It goes on as a header's value.
+// Whether the text can be sent as the value of an HTTP header: visible ASCII only.
 bool IsHost(const std::string& text) {
   return !text.empty() &&
          std::all_of(text.begin(), text.end(), [](unsigned char c) { return c > ' ' && c < 0x7f; });
 }
 
-// Zero where it is not told: the least that a destination may be taken to bear.
+// Zero if there is no valid value: the least that a destination may be assumed to take.
 double ReadShare(const json& entry) {
   const auto share = entry.find("share");
   if (share == entry.end() || !share->is_number()) return 0;
-  const double told = share->get<double>();
-  return told > 0 && told <= kMostShare ? told : 0;
+  const double rate = share->get<double>();
+  return rate > 0 && rate <= kMaxShare ? rate : 0;
 }
 
 std::optional<Health> ReadHealth(const json& entry) {
-  const std::string text = Text(entry, "health");
+  const std::string text = TextField(entry, "health");
   if (text == "Ready") return Health::kReady;
   if (text == "Terminating") return Health::kTerminating;
   if (text == "Gone") return Health::kGone;
   return std::nullopt;
 }
 
-// Empty where the entry is good, else what is wrong with it; the host is set wherever it names one.
+// Returns what is wrong with the entry; empty if it is valid. Sets the host also where only other parts are
+// invalid.
 std::string ReadMember(const json& entry, Member& member) {
   if (!entry.is_object()) return "not an object";
-  std::string host = Text(entry, "host");
+  std::string host = TextField(entry, "host");
   if (host.empty()) return "no host";
   if (!IsHost(host)) return "a host that is not visible ASCII";
   member.host = std::move(host);
-  if (entry.contains(kTwice)) return "a part given twice";
-  member.dial = Text(entry, "dial");
-  member.site = Text(entry, "site");
-  member.kind = Text(entry, "class");
+  if (entry.contains(kDuplicateNameMark)) return "a part given twice";
+  member.dial = TextField(entry, "dial");
+  member.site = TextField(entry, "site");
+  member.kind = TextField(entry, "class");
   member.share = ReadShare(entry);
   const auto block = entry.find("block");
   if (block == entry.end() || !block->is_number_integer() || (!block->is_number_unsigned() && *block < 0)) {
@@ -70,77 +71,79 @@
   return {};
 }
 
-// A list's entries, one after the other: a host is a member where all that names it agrees on where it is.
-class Entries {
+// Builds an update from a list's entries. A host becomes a member only if all entries for it are readable and
+// agree on its address, site, kind and destination.
+class UpdateBuilder {
  public:
-  void Take(const json& entry) {
+  void Add(const json& entry) {
     Member member;
-    std::string trouble = ReadMember(entry, member);
+    std::string error = ReadMember(entry, member);
     if (member.host.empty()) {
-      news_.incomplete = true;  // whichever endpoint it meant
-      return Skip("an entry", trouble);
+      update_.incomplete = true;  // it is not known which endpoint it is about
+      return Skip("an entry", error);
     }
-    const auto [at, first] = places_.try_emplace(member.host, news_.members.size());
-    if (!trouble.empty()) {
-      Skip(member.host, trouble);
-      return Doubt(at->second, member.host);
+    const auto [known, is_new] = indices_.try_emplace(member.host, update_.members.size());
+    if (!error.empty()) {
+      Skip(member.host, error);
+      return MarkUnreadable(known->second, member.host);
     }
-    if (first) return news_.members.push_back(std::move(member));
+    if (is_new) return update_.members.push_back(std::move(member));
     Skip(member.host, "named twice");
-    if (at->second != kUnsure) Join(at->second, member);
+    if (known->second != kUnreadable) Merge(known->second, member);
   }
 
-  MemberNews Done() {
-    std::erase_if(news_.members, [this](const Member& m) { return places_.at(m.host) == kUnsure; });
-    return std::move(news_);
+  MemberListUpdate Finish() {
+    std::erase_if(update_.members, [this](const Member& m) { return indices_.at(m.host) == kUnreadable; });
+    return std::move(update_);
   }
 
  private:
-  static constexpr std::size_t kUnsure = std::numeric_limits<std::size_t>::max();
+  static constexpr std::size_t kUnreadable = std::numeric_limits<std::size_t>::max();
 
-  void Skip(const std::string& which, const std::string& trouble) {
-    news_.skipped.push_back(fmt::format("{}: {}", which, trouble));
+  void Skip(const std::string& which, const std::string& error) {
+    update_.skipped.push_back(fmt::format("{}: {}", which, error));
   }
 
-  void Doubt(std::size_t& place, const std::string& host) {
-    if (std::exchange(place, kUnsure) != kUnsure) news_.unsure.push_back(host);
-    news_.incomplete = true;
+  void MarkUnreadable(std::size_t& index, const std::string& host) {
+    if (std::exchange(index, kUnreadable) != kUnreadable) update_.unreadable.push_back(host);
+    update_.incomplete = true;
   }
 
-  // Of two entries that differ in what the endpoint is, neither holds; of two states, the careful one.
-  void Join(std::size_t& place, const Member& again) {
-    Member& first = news_.members[place];
-    if (first.dial != again.dial || first.site != again.site || first.kind != again.kind ||
-        first.block != again.block) {
-      return Doubt(place, again.host);
+  // Merges a second entry of a host. If the entries describe different endpoints, neither is used. Of two
+  // health states the worse one counts, and of two shares the smaller one.
+  void Merge(std::size_t& index, const Member& second) {
+    Member& first = update_.members[index];
+    if (first.dial != second.dial || first.site != second.site || first.kind != second.kind ||
+        first.block != second.block) {
+      return MarkUnreadable(index, second.host);
     }
-    news_.incomplete |= first.health != again.health;
-    first.health = std::max(first.health, again.health);
-    first.share = std::min(first.share, again.share);
+    update_.incomplete |= first.health != second.health;
+    first.health = std::max(first.health, second.health);
+    first.share = std::min(first.share, second.share);
   }
 
-  MemberNews news_;
-  std::map<std::string, std::size_t> places_;  // among the members
+  MemberListUpdate update_;
+  std::map<std::string, std::size_t> indices_;  // of each host in the members
 };
 
 }  // namespace
 
-std::optional<MemberNews> ParseMembers(std::string_view text) {
-  const json whole = ParseOnce(text);
-  if (!whole.is_object() || whole.contains(kTwice)) return std::nullopt;
+std::optional<MemberListUpdate> ParseMembers(std::string_view text) {
+  const json whole = ParseMarkingDuplicateNames(text);
+  if (!whole.is_object() || whole.contains(kDuplicateNameMark)) return std::nullopt;
   const auto version = whole.find("seq"), full = whole.find("whole"), hosts = whole.find("hosts");
   if (version == whole.end() || !version->is_number_unsigned()) return std::nullopt;
   if (full == whole.end() || !full->is_boolean()) return std::nullopt;
   if (hosts == whole.end() || !hosts->is_array()) return std::nullopt;
-  Entries entries;
-  for (const json& entry : *hosts) entries.Take(entry);
-  MemberNews news = entries.Done();
-  news.version = version->get<std::uint64_t>();
-  news.whole = full->get<bool>();
-  return news;
+  UpdateBuilder builder;
+  for (const json& entry : *hosts) builder.Add(entry);
+  MemberListUpdate update = builder.Finish();
+  update.version = version->get<std::uint64_t>();
+  update.whole = full->get<bool>();
+  return update;
 }
 
-void Nesting::Take(std::string_view bytes) {
+void JsonNesting::Add(std::string_view bytes) {
   for (const char c : bytes) {
     if (std::exchange(escaped_, false)) continue;
     if (c == '"') {
--- a/src/net/member_list.h
+++ b/src/net/member_list.h
@@ -1,4 +1,4 @@
-// The list of endpoints as discovery writes it: JSON text in, entries out. No I/O.
+// Parses the list of endpoints, and changes of it, from discovery's JSON text. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,33 +9,39 @@
 
 namespace indigosaddle::net {
 
+// The health of an endpoint, as discovery reports it.
 enum class Health : std::uint8_t { kReady, kTerminating, kGone };
 
-struct Member {  // in discovery's words
+// An entry of the list: one endpoint, under the names that discovery uses.
+struct Member {
+  // `host`: the endpoint's id. `dial`: the address to connect to, as "ip:port". `kind`: discovery's "class".
   std::string host, dial, site, kind;
-  std::uint64_t block = 0;
-  double share = 0;  // what it takes, where the list's weights mean that; 0: it does not say
+  std::uint64_t block = 0;  // the endpoint's destination
+  double share = 0;         // calls a second that it takes, where weights mean that; 0: not reported
   Health health = Health::kReady;
 };
 
-struct MemberNews {
+// What one text of discovery says: the whole list, or a change of it.
+struct MemberListUpdate {
   std::uint64_t version = 0;
-  bool whole = false;
+  bool whole = false;  // true: the whole list; false: only what changed
   std::vector<Member> members;
-  // Hosts of which an entry can't be read whole, or of which two contradict each other: not among the
-  // members. What was said of them may have been that they drain.
-  std::vector<std::string> unsure;
-  bool incomplete = false;  // something that the text said is not known here: the whole list may tell
-  std::vector<std::string> skipped;  // what could not be used, and why
+  // Hosts with an entry that is unreadable, or with entries that contradict each other. They are not among
+  // the members. Their entries may have said that they drain.
+  std::vector<std::string> unreadable;
+  bool incomplete = false;           // a part of the text could not be used: the whole list may contain it
+  std::vector<std::string> skipped;  // the entries that could not be used, with the reasons, for the log
 };
 
-// Nothing where the text as a whole is no such object. An entry is taken whole or not at all.
-std::optional<MemberNews> ParseMembers(std::string_view json);
+// Returns nothing if the text as a whole is not a list or a change. An entry is used whole or not at all.
+std::optional<MemberListUpdate> ParseMembers(std::string_view json);
 
-// Whether a JSON text is within an object, bytes at a time: an object may come indented, on several lines.
-class Nesting {
+// Tracks whether a JSON text that arrives in pieces is within an object. Needed because discovery may send an
+// object indented, over several lines.
+class JsonNesting {
  public:
-  void Take(std::string_view bytes);
+  void Add(std::string_view bytes);
+  // An object has begun and not ended yet.
   bool open() const { return depth_ > 0; }
 
  private:
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -66,7 +66,7 @@
                       Micros lasted) override;
   bool May(Action action) override;
   void Did(Action action) override;
-  void OnMembers(net::MemberNews news) override;
+  void OnMembers(net::MemberListUpdate news) override;
   void OnWatchLost(std::string_view reason, Micros outdated_from) override;
   void OnNoticesTaken(const std::vector<std::uint64_t>& serials) override;
   void OnNoticeUnreadable(std::string_view line) override;
@@ -188,7 +188,7 @@
   class Arriving : public net::Discovery::Handler {
    public:
     explicit Arriving(Node& node) : node_(node) {}
-    void OnMembers(net::MemberNews news) override;
+    void OnMembers(net::MemberListUpdate news) override;
     void OnWatchLost(std::string_view reason, Micros outdated_from) override;
 
    private:
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -46,13 +46,13 @@
   Push(state::ClientGone{connection});
 }
 
-void Node::OnMembers(net::MemberNews news) {
+void Node::OnMembers(net::MemberListUpdate news) {
   list_lost_at_ = Micros(0);
   if (const std::uint64_t untold = watch_losses_.Over(); untold > 0) log_.Write(base::kWatchBack, untold);
   for (const std::string& skipped : news.skipped) log_.Write(base::kListSkipped, news.version, skipped);
   state::ListUpdate event;
   event.whole = news.whole;
-  event.unreadable = std::move(news.unsure);
+  event.unreadable = std::move(news.unreadable);
   for (net::Member& member : news.members) {
     state::ListedEndpoint listed;
     listed.endpoint.zone = zone_numbers_.Of(config_.zones, member.site, member.host);
--- a/src/node/node_operations.cpp
+++ b/src/node/node_operations.cpp
@@ -56,8 +56,8 @@
 
 std::unique_ptr<net::Discovery> Node::MakeDiscovery(net::Discovery::Handler& handler) {
   const bool asked = config_.settings.discovery == Discovery::kOnRequest;
-  const net::AskPace pace =
-      net::PaceOfAsking(config_.settings.senders, asked ? config_.settings.must_ask_in : Micros(0));
+  const net::RequestPacing pace =
+      net::RequestPacingFor(config_.settings.senders, asked ? config_.settings.must_ask_in : Micros(0));
   return std::make_unique<net::Discovery>(loop_, handler, config_.discovery, pace, config_.settings.seed);
 }
 
@@ -75,7 +75,7 @@
   arriving_->Start();
 }
 
-void Node::Arriving::OnMembers(net::MemberNews news) {
+void Node::Arriving::OnMembers(net::MemberListUpdate news) {
   if (news.whole) node_.arrived_timer_.Start(Micros(0));  // not within its own callback
   node_.OnMembers(std::move(news));
 }
@@ -88,7 +88,7 @@
 void Node::Arrived() {
   if (arriving_ == nullptr) return;
   if (const std::uint64_t untold = new_watch_losses_.Over(); untold > 0) log_.Write(base::kWatchBack, untold);
-  arriving_->TellTo(*this);
+  arriving_->SetHandler(*this);
   discovery_ = std::move(arriving_);
   discovery_at_ = config_.discovery;
   notices_.Move(config_.discovery);  // the platform's notices are taken where its list is
--- a/tests/net_discovery_test.cpp
+++ b/tests/net_discovery_test.cpp
@@ -23,7 +23,7 @@
   Backoff backoff(milliseconds(100), milliseconds(1000), 7);
   for (int round = 0; round < 2; ++round, backoff.Reset())
     for (const int ceiling : {200, 400, 800, 1000, 1000, 1000}) {
-      const Micros wait = backoff.Next();
+      const Micros wait = backoff.NextDelay();
       EXPECT_GE(wait, milliseconds(100));
       EXPECT_LE(wait, milliseconds(ceiling));
     }
@@ -34,39 +34,39 @@
       other(milliseconds(100), milliseconds(9000), 2);
   int differ = 0;
   for (int i = 0; i < 20; ++i) {
-    const Micros wait = one.Next();
-    EXPECT_EQ(wait, same.Next());
-    differ += wait != other.Next() ? 1 : 0;
+    const Micros wait = one.NextDelay();
+    EXPECT_EQ(wait, same.NextDelay());
+    differ += wait != other.NextDelay() ? 1 : 0;
   }
   EXPECT_GE(differ, 19);
 }
 
-TEST(AskPace, FewNodesAskAsOneAndRequestsThatCostNothingAreNotSpread) {
+TEST(RequestPacing, FewNodesAskAsOneAndRequestsThatCostNothingAreNotSpread) {
   for (const int senders : {0, 1, 3, 1000}) {
-    const AskPace free = PaceOfAsking(senders, Micros(0));
-    EXPECT_EQ(free.spread, Micros(0));
-    EXPECT_EQ(free.least, milliseconds(100));
-    EXPECT_EQ(free.most, milliseconds(1000));
+    const RequestPacing free = RequestPacingFor(senders, Micros(0));
+    EXPECT_EQ(free.initial_jitter, Micros(0));
+    EXPECT_EQ(free.min_retry_delay, milliseconds(100));
+    EXPECT_EQ(free.max_retry_delay, milliseconds(1000));
   }
   // An agent that answers at once is given up soon; a discovery that many ask is not asked the more for being
   // slow: given up after 1.2 s, the fleet's herd day fell from 0.81 to 0.04.
-  EXPECT_EQ(PaceOfAsking(300, Micros(0)).patience, milliseconds(1200));
-  EXPECT_EQ(PaceOfAsking(300, seconds(10)).patience, seconds(3));
-  const AskPace few = PaceOfAsking(3, seconds(10));
-  EXPECT_EQ(few.spread, milliseconds(150));
-  EXPECT_EQ(few.least, milliseconds(300));
-  EXPECT_EQ(few.most, milliseconds(1000));
+  EXPECT_EQ(RequestPacingFor(300, Micros(0)).response_timeout, milliseconds(1200));
+  EXPECT_EQ(RequestPacingFor(300, seconds(10)).response_timeout, seconds(3));
+  const RequestPacing few = RequestPacingFor(3, seconds(10));
+  EXPECT_EQ(few.initial_jitter, milliseconds(150));
+  EXPECT_EQ(few.min_retry_delay, milliseconds(300));
+  EXPECT_EQ(few.max_retry_delay, milliseconds(1000));
 }
 
 // Whatever the fleet, a node that was refused asks again within 4 s, and one whose watch ended within 2: a
 // change counts as told 6 s after discovery can be reached, so that 2 s and more are left for the answer.
 // (The term before this one let a refused node wait for four times must_ask_in.)
-TEST(AskPace, TheWaitStaysWithinWhatTheRuleAllows) {
+TEST(RequestPacing, TheWaitStaysWithinWhatTheRuleAllows) {
   for (const Micros must_ask_in : {seconds(2), seconds(10), seconds(60)}) {
     for (const int senders : {1, 10, 100, 300, 1000, 100000}) {
-      const AskPace pace = PaceOfAsking(senders, must_ask_in);
-      EXPECT_LE(pace.spread, seconds(1));
-      EXPECT_LE(pace.most, seconds(4));
+      const RequestPacing pace = RequestPacingFor(senders, must_ask_in);
+      EXPECT_LE(pace.initial_jitter, seconds(1));
+      EXPECT_LE(pace.max_retry_delay, seconds(4));
     }
   }
 }
@@ -75,14 +75,14 @@
 // half a minute (70 requests a second). Spread over 1 s, 100 first requests make 10 in 100 ms on average; in
 // 10 bins more than 26 are met once in 50,000 draws (Poisson). Repeats come after 2 to 4 s, 3 s on average:
 // 33 a second, over 60 once in 50,000.
-TEST(AskPace, AHundredNodesThatStartInOneInstantDoNotAskInOne) {
-  const AskPace pace = PaceOfAsking(100, seconds(10));
+TEST(RequestPacing, AHundredNodesThatStartInOneInstantDoNotAskInOne) {
+  const RequestPacing pace = RequestPacingFor(100, seconds(10));
   std::map<std::int64_t, int> first, repeats;  // by 100 ms, by second
   for (std::uint64_t seed = 0; seed < 100; ++seed) {
-    Backoff backoff(pace.least, pace.most, seed);
-    Micros at = backoff.Within(pace.spread);
+    Backoff backoff(pace.min_retry_delay, pace.max_retry_delay, seed);
+    Micros at = backoff.Jitter(pace.initial_jitter);
     ++first[at / milliseconds(100)];
-    while ((at += backoff.Next()) < seconds(100)) ++repeats[at / seconds(1)];
+    while ((at += backoff.NextDelay()) < seconds(100)) ++repeats[at / seconds(1)];
   }
   for (const auto& [bin, requests] : first) EXPECT_LE(requests, 26) << bin;
   int all = 0;
@@ -98,43 +98,43 @@
 
 TEST(ListClock, WhatCanNotBeReachedOutdatesNothing) {
   ListClock clock;
-  clock.OnLife(seconds(10));
-  for (int at = 12; at < 100; at += 4) clock.OnNoAnswer(seconds(at));
+  clock.OnConfirmed(seconds(10));
+  for (int at = 12; at < 100; at += 4) clock.OnNoResponse(seconds(at));
   EXPECT_EQ(clock.outdated_from(), Micros::max());
 }
 
 TEST(ListClock, ARefusalStartsNothingAnew) {
   ListClock clock;
-  clock.OnLife(seconds(10));
+  clock.OnConfirmed(seconds(10));
   for (const int at : {11, 13, 15}) {
     clock.OnRefused();
-    EXPECT_EQ(clock.outdated_from(), seconds(16) - kToldMargin) << at;
+    EXPECT_EQ(clock.outdated_from(), seconds(16) - kListChangeMargin) << at;
   }
 }
 
 // Refused after it could not be reached: it may have come back when the request before was begun, no sooner.
 TEST(ListClock, ItRunsFromTheLatestRequestThatWasNotAnswered) {
   ListClock clock;
-  clock.OnLife(seconds(10));
-  clock.OnNoAnswer(seconds(30));
+  clock.OnConfirmed(seconds(10));
+  clock.OnNoResponse(seconds(30));
   clock.OnRefused();
-  EXPECT_EQ(clock.outdated_from(), seconds(36) - kToldMargin);
+  EXPECT_EQ(clock.outdated_from(), seconds(36) - kListChangeMargin);
 }
 
 TEST(ListClock, AListSetsItRight) {
   ListClock clock;
   clock.OnRefused();
-  clock.OnLife(seconds(10));
+  clock.OnConfirmed(seconds(10));
   EXPECT_EQ(clock.outdated_from(), Micros::max());
 }
 
-TEST(Nesting, AnObjectIsOpenUntilItsLastBraceWhateverItsStringsHold) {
+TEST(JsonNesting, AnObjectIsOpenUntilItsLastBraceWhateverItsStringsHold) {
   for (const std::string text : {R"({"a":{"b":"}\"}"},"c":[{}]})", R"({"a":"\\"})", R"({ "x" : "{{{" })"}) {
     for (std::size_t cut = 1; cut < text.size(); ++cut) {
-      Nesting nesting;
-      nesting.Take(std::string_view(text).substr(0, cut));
+      JsonNesting nesting;
+      nesting.Add(std::string_view(text).substr(0, cut));
       EXPECT_TRUE(nesting.open()) << text << cut;
-      nesting.Take(std::string_view(text).substr(cut));
+      nesting.Add(std::string_view(text).substr(cut));
       EXPECT_FALSE(nesting.open()) << text << cut;
     }
   }
--- a/tests/net_list_paths_test.cpp
+++ b/tests/net_list_paths_test.cpp
@@ -33,7 +33,7 @@
  protected:
   using Play = std::function<void(Socket&)>;
 
-  milliseconds UntilTheNextNews(bool bad_watch, const Play& bad, const net::AskPace& pace = {},
+  milliseconds UntilTheNextNews(bool bad_watch, const Play& bad, const net::RequestPacing& pace = {},
                                 std::optional<std::uint64_t> held = std::nullopt) {
     HttpServer server([&](Socket& socket, const HttpRequest& request) {
       const bool watch = request.line.find("watch=1") != std::string::npos;
@@ -50,8 +50,9 @@
       return true;
     });
     net::Loop loop;
-    const net::AskPace alone = net::PaceOfAsking(1, Micros(0));
-    net::Discovery discovery(loop, *this, server.address(), pace.most > Micros(0) ? pace : alone, 1);
+    const net::RequestPacing alone = net::RequestPacingFor(1, Micros(0));
+    net::Discovery discovery(loop, *this, server.address(), pace.max_retry_delay > Micros(0) ? pace : alone,
+                             1);
     discovery.Start(held);
     const auto give_up = Clock::now() + seconds(20);
     net::Timer look(loop, [&] {
@@ -67,10 +68,11 @@
   net::Discovery::Handler& handler() { return *this; }
   // What an answer takes that the machine is slow to give.
   static constexpr milliseconds kRoom{1000};
-  static constexpr milliseconds kBound = std::chrono::duration_cast<milliseconds>(net::kToldAfter) - kRoom;
+  static constexpr milliseconds kBound =
+      std::chrono::duration_cast<milliseconds>(net::kListChangeDeadline) - kRoom;
 
  private:
-  void OnMembers(net::MemberNews) override {
+  void OnMembers(net::MemberListUpdate) override {
     if (played_ && news_after_ == Clock::time_point()) news_after_ = Clock::now();
   }
   void OnWatchLost(std::string_view, Micros) override {}
@@ -137,14 +139,14 @@
 // 503 at the size of a fleet of 300 with lists on request: asked again within 4 s.
 TEST_F(ListPaths, RefusedInALargeFleet) {
   const auto took = UntilTheNextNews(
-      true, [](Socket& s) { s.Write(Answer(503)); }, net::PaceOfAsking(300, seconds(10)), 41);
+      true, [](Socket& s) { s.Write(Answer(503)); }, net::RequestPacingFor(300, seconds(10)), 41);
   EXPECT_LT(took, kBound);
 }
 
 // A watch that ended for all of them in one instant is asked for within 2 s.
 TEST_F(ListPaths, EndedInALargeFleet) {
   const auto took = UntilTheNextNews(
-      true, [](Socket& s) { s.Reset(); }, net::PaceOfAsking(300, seconds(10)), 41);
+      true, [](Socket& s) { s.Reset(); }, net::RequestPacingFor(300, seconds(10)), 41);
   EXPECT_LT(took, seconds(3));
 }
 
@@ -166,7 +168,7 @@
     return true;
   });
   net::Loop loop;
-  net::Discovery discovery(loop, handler(), server.address(), net::PaceOfAsking(1, Micros(0)), 1);
+  net::Discovery discovery(loop, handler(), server.address(), net::RequestPacingFor(1, Micros(0)), 1);
   discovery.Start();
   const auto give_up = Clock::now() + seconds(20);
   net::Timer look(loop, [&] {
@@ -176,7 +178,7 @@
   loop.Run();
   server.Stop();
   ASSERT_GT(third.load(), Clock::time_point()) << "no third watch";
-  EXPECT_LT(third.load() - last_line.load(), net::kToldAfter - milliseconds(500));
+  EXPECT_LT(third.load() - last_line.load(), net::kListChangeDeadline - milliseconds(500));
 }
 
 // An object that comes indented, on several lines, is one change, and no reason to ask for the whole list
--- a/tests/net_odd_list_test.cpp
+++ b/tests/net_odd_list_test.cpp
@@ -27,10 +27,10 @@
   return "{" + text + "}";
 }
 
-MemberNews Change(const std::string& hosts) {
+MemberListUpdate Change(const std::string& hosts) {
   const auto news = ParseMembers(R"({"seq":41,"whole":false,"hosts":[)" + hosts + "]}");
   EXPECT_TRUE(news.has_value()) << hosts;
-  return news.value_or(MemberNews{});
+  return news.value_or(MemberListUpdate{});
 }
 
 // A change that may have said Terminating was skipped, and the endpoint stayed ready.
@@ -47,8 +47,8 @@
                                        {"block", "3.5"},
                                        {"block", R"("3")"},
                                        {"block", "99999999999999999999"}}) {
-    const MemberNews news = Change(Entry(part, odd) + "," + Entry("host", R"("s-2")"));
-    EXPECT_EQ(news.unsure, std::vector<std::string>{"s-1"}) << part << odd;
+    const MemberListUpdate news = Change(Entry(part, odd) + "," + Entry("host", R"("s-2")"));
+    EXPECT_EQ(news.unreadable, std::vector<std::string>{"s-1"}) << part << odd;
     EXPECT_TRUE(news.incomplete) << part << odd;
     ASSERT_EQ(news.members.size(), 1u) << part << odd;
     EXPECT_EQ(news.members[0].host, "s-2");
@@ -59,9 +59,9 @@
 TEST(OddList, AnEntryWithoutAHostLeavesTheNewsIncomplete) {
   for (const std::string& odd : {std::string("7"), std::string("null"), Entry("host"), Entry("host", "5"),
                                  Entry("host", R"("a b")"), Entry("host", R"("")")}) {
-    const MemberNews news = Change(odd + "," + Entry());
+    const MemberListUpdate news = Change(odd + "," + Entry());
     EXPECT_TRUE(news.incomplete) << odd;
-    EXPECT_TRUE(news.unsure.empty()) << odd;
+    EXPECT_TRUE(news.unreadable.empty()) << odd;
     EXPECT_EQ(news.members.size(), 1u) << odd;
   }
 }
@@ -73,9 +73,9 @@
                                    Entry("site", R"("b")"), Entry("class", ""), Entry("health", "")}) {
     for (const std::string& both :
          {Entry() + "," + other, other + "," + Entry(), Entry() + "," + other + "," + Entry()}) {
-      const MemberNews news = Change(both);
+      const MemberListUpdate news = Change(both);
       EXPECT_TRUE(news.members.empty()) << both;
-      EXPECT_EQ(news.unsure, std::vector<std::string>{"s-1"}) << both;
+      EXPECT_EQ(news.unreadable, std::vector<std::string>{"s-1"}) << both;
       EXPECT_TRUE(news.incomplete) << both;
     }
   }
@@ -86,14 +86,14 @@
   for (const std::string state : {R"("Terminating")", R"("Gone")"}) {
     const std::string other = Entry("health", state);
     for (const std::string& both : {Entry() + "," + other, other + "," + Entry()}) {
-      const MemberNews news = Change(both);
+      const MemberListUpdate news = Change(both);
       ASSERT_EQ(news.members.size(), 1u) << both;
       EXPECT_EQ(news.members[0].health, state == R"("Gone")" ? Health::kGone : Health::kTerminating) << both;
       EXPECT_TRUE(news.incomplete) << both;
     }
   }
   for (const std::string& both : {Entry("share", "9") + "," + Entry(), Entry() + "," + Entry("share", "9")}) {
-    const MemberNews news = Change(both);
+    const MemberListUpdate news = Change(both);
     ASSERT_EQ(news.members.size(), 1u) << both;
     EXPECT_EQ(news.members[0].share, 1.5) << both;
   }
@@ -101,9 +101,9 @@
 
 // The same entry twice says nothing that is not known.
 TEST(OddList, TheSameEntryTwiceIsOneAndNothingIsMissing) {
-  const MemberNews news = Change(Entry() + "," + Entry());
+  const MemberListUpdate news = Change(Entry() + "," + Entry());
   EXPECT_EQ(news.members.size(), 1u);
-  EXPECT_TRUE(news.unsure.empty());
+  EXPECT_TRUE(news.unreadable.empty());
   EXPECT_FALSE(news.incomplete);
 }
 
@@ -122,13 +122,13 @@
                                   R"("dial":"127.0.0.1:8")", R"("block":4)", R"("share":9)"}) {
     for (const std::string& entry :
          {"{" + twice + "," + Entry().substr(1), Entry().substr(0, Entry().size() - 1) + "," + twice + "}"}) {
-      const MemberNews news = Change(entry + "," + Entry("host", R"("s-2")"));
-      EXPECT_EQ(news.unsure, std::vector<std::string>{"s-1"}) << entry;
+      const MemberListUpdate news = Change(entry + "," + Entry("host", R"("s-2")"));
+      EXPECT_EQ(news.unreadable, std::vector<std::string>{"s-1"}) << entry;
       ASSERT_EQ(news.members.size(), 1u) << entry;
     }
   }
-  const MemberNews news = Change(R"({"host":"s-3",)" + Entry().substr(1));
-  EXPECT_TRUE(news.unsure.empty());  // one of two, and which is not known
+  const MemberListUpdate news = Change(R"({"host":"s-3",)" + Entry().substr(1));
+  EXPECT_TRUE(news.unreadable.empty());  // one of two, and which is not known
   EXPECT_TRUE(news.members.empty());
   EXPECT_TRUE(news.incomplete);
 }
--- a/tests/net_odd_watch_test.cpp
+++ b/tests/net_odd_watch_test.cpp
@@ -45,7 +45,7 @@
     });
     net::Loop loop;
     now_ = [&] { return loop.Now(); };
-    net::Discovery discovery(loop, *this, server.address(), net::PaceOfAsking(1, Micros(0)), 1);
+    net::Discovery discovery(loop, *this, server.address(), net::RequestPacingFor(1, Micros(0)), 1);
     discovery.Start();
     const auto give_up = Clock::now() + patience;
     net::Timer look(loop,
@@ -56,12 +56,12 @@
   }
 
   std::atomic<int> lists_{0}, watches_{0};
-  std::vector<net::MemberNews> news_;
+  std::vector<net::MemberListUpdate> news_;
   milliseconds before_line_{0};
   Micros outdated_from_ = Micros::max(), listed_at_{0};
 
  private:
-  void OnMembers(net::MemberNews news) override {
+  void OnMembers(net::MemberListUpdate news) override {
     news_.push_back(std::move(news));
     listed_at_ = now_();
   }
@@ -75,7 +75,7 @@
   Run({Said(41, "true"), Said(43, "true")}, {Said(42, "false", kOdd), Said(44, "false")},
       [this] { return news_.size() >= 4; });
   ASSERT_EQ(news_.size(), 4u);
-  EXPECT_EQ(news_[1].unsure, std::vector<std::string>{"s-1"});  // told at once
+  EXPECT_EQ(news_[1].unreadable, std::vector<std::string>{"s-1"});  // told at once
   EXPECT_TRUE(news_[2].whole);
   EXPECT_EQ(news_[3].version, 44u);
   EXPECT_EQ(lists_, 2);
@@ -119,7 +119,7 @@
 TEST_F(OddWatch, ALineThatCantBeReadConfirmsNothing) {
   before_line_ = milliseconds(800);
   Run({Said(41, "true"), "rubbish"}, {"rubbish\n"}, [this] { return outdated_from_ < Micros::max(); });
-  EXPECT_LT(outdated_from_, listed_at_ + net::kToldAfter);
+  EXPECT_LT(outdated_from_, listed_at_ + net::kListChangeDeadline);
 }
 
 }  // namespace
--- a/tests/net_silence_test.cpp
+++ b/tests/net_silence_test.cpp
@@ -52,7 +52,7 @@
       return true;  // the connection stays open
     });
     net::Loop loop;
-    net::Discovery discovery(loop, *this, server.address(), net::PaceOfAsking(1, Micros(0)), 1);
+    net::Discovery discovery(loop, *this, server.address(), net::RequestPacingFor(1, Micros(0)), 1);
     discovery.Start();
     net::Timer look(loop, [&] {
       const std::lock_guard lock(mutex_);
@@ -67,7 +67,7 @@
   }
 
  private:
-  void OnMembers(net::MemberNews news) override { members_ = std::max(members_, news.members.size()); }
+  void OnMembers(net::MemberListUpdate news) override { members_ = std::max(members_, news.members.size()); }
   void OnWatchLost(std::string_view, Micros) override {}
 
   std::mutex mutex_;
