--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 constexpr int kBacklog = 64;
-constexpr Micros kSweepEvery = std::chrono::milliseconds(250);
-// From accept to a whole request. The platform waits 1 s for an answer; a caller that has said nothing
-// whole by then is one of those that hold a connection open.
-constexpr Micros kRequestTime = std::chrono::seconds(2);
-constexpr Micros kAnswerTime = std::chrono::seconds(2);  // for the caller to read the answer
+constexpr Micros kSweepInterval = std::chrono::milliseconds(250);
+// From accept to a complete request. The platform waits 1 s for a response; a client that has not sent a
+// complete request by then only holds its connection open.
+constexpr Micros kRequestTimeout = std::chrono::seconds(2);
+constexpr Micros kResponseTimeout = std::chrono::seconds(2);  // for the client to read the response
 
-std::string_view Reason(int status) {
+std::string_view ReasonPhrase(int status) {
   switch (status) {
     case 200: return "OK";
     case 400: return "Bad Request";
@@ -31,17 +31,18 @@
 
 }  // namespace
 
-std::string FormatAnswer(const AdminAnswer& answer) {
+std::string FormatResponse(const AdminResponse& response) {
   return fmt::format(
       "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\nCache-Control: no-store\r\n"
       "Connection: close\r\n\r\n{}",
-      answer.status, Reason(answer.status), answer.content_type, answer.body.size(), answer.body);
+      response.status, ReasonPhrase(response.status), response.content_type, response.body.size(),
+      response.body);
 }
 
-class AdminServer::Caller : private Stream::Listener {
+class AdminServer::Connection : private Stream::Listener {
  public:
-  Caller(AdminServer& server, std::uint64_t id)
-      : server_(server), id_(id), stream_(server.loop_, *this), since_(server.loop_.Now()) {
+  Connection(AdminServer& server, std::uint64_t id)
+      : server_(server), id_(id), stream_(server.loop_, *this), accepted_at_(server.loop_.Now()) {
     http_parser_init(&parser_, HTTP_REQUEST);
     parser_.data = this;
   }
@@ -52,80 +53,82 @@
   }
 
   bool Overdue(Micros now) const {
-    return now - since_ > (answered_ ? kRequestTime + kAnswerTime : kRequestTime);
+    return now - accepted_at_ > (responded_ ? kRequestTimeout + kResponseTimeout : kRequestTimeout);
   }
-  bool answered() const { return answered_; }
-  Micros since() const { return since_; }
+  bool responded() const { return responded_; }
+  Micros accepted_at() const { return accepted_at_; }
 
  private:
   static const http_parser_settings& Callbacks() {
     static const http_parser_settings settings = [] {
       http_parser_settings s;
       http_parser_settings_init(&s);
-      s.on_url = [](http_parser* p, const char* at, std::size_t size) {
-        auto& self = *static_cast<Caller*>(p->data);
-        self.url_.append(at, size);
-        return self.Count(size) ? 0 : 1;
+      s.on_url = [](http_parser* p, const char* data, std::size_t size) {
+        auto& self = *static_cast<Connection*>(p->data);
+        self.url_.append(data, size);
+        return self.CountHeadBytes(size) ? 0 : 1;
       };
       s.on_header_field = [](http_parser* p, const char*, std::size_t size) {
-        return static_cast<Caller*>(p->data)->Count(size) ? 0 : 1;
+        return static_cast<Connection*>(p->data)->CountHeadBytes(size) ? 0 : 1;
       };
       s.on_header_value = [](http_parser* p, const char*, std::size_t size) {
-        return static_cast<Caller*>(p->data)->Count(size) ? 0 : 1;
+        return static_cast<Connection*>(p->data)->CountHeadBytes(size) ? 0 : 1;
       };
       s.on_message_complete = [](http_parser* p) {
-        static_cast<Caller*>(p->data)->whole_ = true;
-        return 1;  // one call to a connection: what follows is not read
+        static_cast<Connection*>(p->data)->request_complete_ = true;
+        return 1;  // stops the parser: a connection carries one request, and what follows is not read
       };
       return s;
     }();
     return settings;
   }
 
-  bool Count(std::size_t bytes) { return (head_bytes_ += bytes) <= kMostHead; }
+  bool CountHeadBytes(std::size_t bytes) { return (head_bytes_ += bytes) <= kMaxHeadBytes; }
 
   void OnBytes(std::string_view bytes) override {
-    if (answered_) return;  // read and dropped, so that the answer is not lost to a reset
+    if (responded_) return;  // dropped: with unread bytes a close would reset the connection
     http_parser_execute(&parser_, &Callbacks(), bytes.data(), bytes.size());
-    if (whole_) {
+    if (request_complete_) {
       const std::string_view method = http_method_str(static_cast<http_method>(parser_.method));
       const std::string_view path = std::string_view{url_}.substr(0, url_.find('?'));
-      return Answer(server_.handler_.OnAdmin(method, path));
+      return Respond(server_.handler_.OnAdminRequest(method, path));
     }
     const auto error = static_cast<http_errno>(parser_.http_errno);
     if (error == HPE_OK) return;
-    const bool too_long = head_bytes_ > kMostHead;
-    Answer({too_long ? 431 : 400, too_long ? "the request's head is too long\n" : "no HTTP request\n"});
+    const bool head_too_long = head_bytes_ > kMaxHeadBytes;
+    Respond({head_too_long ? 431 : 400,
+             head_too_long ? "the request's head is too long\n" : "no HTTP request\n"});
   }
 
   void OnEnd(int) override {
-    if (!answered_ || stream_.unwritten() == 0) server_.Drop(id_);
+    if (!responded_ || stream_.unwritten() == 0) server_.CloseConnection(id_);
   }
 
-  void Answer(const AdminAnswer& answer) {
-    answered_ = true;
-    if (stream_.Write(FormatAnswer(answer)) != 0 || stream_.HalfClose() != 0) server_.Drop(id_);
+  void Respond(const AdminResponse& response) {
+    responded_ = true;
+    if (stream_.Write(FormatResponse(response)) != 0 || stream_.HalfClose() != 0)
+      server_.CloseConnection(id_);
   }
 
   AdminServer& server_;
   const std::uint64_t id_;
   Stream stream_;
-  const Micros since_;
+  const Micros accepted_at_;
   http_parser parser_{};
   std::string url_;
   std::size_t head_bytes_ = 0;
-  bool whole_ = false, answered_ = false;
+  bool request_complete_ = false, responded_ = false;
 };
 
 AdminServer::AdminServer(Loop& loop, Handler& handler)
     : loop_(loop),
       handler_(handler),
-      bury_(loop, [this] { buried_.clear(); }),
-      sweep_(loop, [this] { Sweep(); }) {}
+      deletion_timer_(loop, [this] { closed_.clear(); }),
+      sweep_timer_(loop, [this] { CloseOverdue(); }) {}
 
 AdminServer::~AdminServer() {
-  callers_.clear();
-  buried_.clear();
+  connections_.clear();
+  closed_.clear();
   StopListening();
 }
 
@@ -136,12 +139,12 @@
 }
 
 int AdminServer::Listen(const std::string& address) {
-  sockaddr_storage at{};
-  if (!ParseAddress(address, at)) return UV_EINVAL;
+  sockaddr_storage socket_address{};
+  if (!ParseAddress(address, socket_address)) return UV_EINVAL;
   listener_ = new uv_tcp_t{};
   uv_tcp_init(loop_.raw(), listener_);
   listener_->data = this;
-  int error = uv_tcp_bind(listener_, reinterpret_cast<const sockaddr*>(&at), 0);
+  int error = uv_tcp_bind(listener_, reinterpret_cast<const sockaddr*>(&socket_address), 0);
   if (error == 0) {
     error =
         uv_listen(reinterpret_cast<uv_stream_t*>(listener_), kBacklog, [](uv_stream_t* stream, int status) {
@@ -152,48 +155,49 @@
     StopListening();
     return error;
   }
-  sweep_.Start(kSweepEvery);
+  sweep_timer_.Start(kSweepInterval);
   return 0;
 }
 
 std::string AdminServer::address() const { return BoundAddress(listener_); }
 
 void AdminServer::Accept() {
-  // Callers that have their answer, and such as hold a connection without a whole request, must not keep the
-  // platform's checks out.
-  if (callers_.size() >= kMostCallers) {
-    const auto rank = [](const auto& entry) {
-      return std::pair(!entry.second->answered(), entry.second->since());
+  // Connections that have their response, and those without a complete request, must not block the platform's
+  // health checks. At the limit the oldest of the former is evicted, otherwise the oldest of the latter.
+  if (connections_.size() >= kMaxConnections) {
+    const auto eviction_rank = [](const auto& entry) {
+      return std::pair(!entry.second->responded(), entry.second->accepted_at());
     };
-    Drop(std::min_element(callers_.begin(), callers_.end(), [&](const auto& a, const auto& b) {
-           return rank(a) < rank(b);
-         })->first);
+    CloseConnection(
+        std::min_element(connections_.begin(), connections_.end(), [&](const auto& a, const auto& b) {
+          return eviction_rank(a) < eviction_rank(b);
+        })->first);
   }
-  const std::uint64_t id = ++last_caller_;
-  auto caller = std::make_unique<Caller>(*this, id);
-  if (caller->Accept(reinterpret_cast<uv_stream_t*>(listener_)) != 0) {
-    buried_.push_back(std::move(caller));
-    bury_.Start(Micros(0));
+  const std::uint64_t id = ++last_connection_;
+  auto connection = std::make_unique<Connection>(*this, id);
+  if (connection->Accept(reinterpret_cast<uv_stream_t*>(listener_)) != 0) {
+    closed_.push_back(std::move(connection));
+    deletion_timer_.Start(Micros(0));
     return;
   }
-  callers_.emplace(id, std::move(caller));
+  connections_.emplace(id, std::move(connection));
 }
 
-void AdminServer::Drop(std::uint64_t caller) {
-  auto node = callers_.extract(caller);
+void AdminServer::CloseConnection(std::uint64_t connection) {
+  auto node = connections_.extract(connection);
   if (node.empty()) return;
-  buried_.push_back(std::move(node.mapped()));
-  bury_.Start(Micros(0));
+  closed_.push_back(std::move(node.mapped()));
+  deletion_timer_.Start(Micros(0));
 }
 
-void AdminServer::Sweep() {
+void AdminServer::CloseOverdue() {
   std::vector<std::uint64_t> overdue;
   const Micros now = loop_.Now();
-  for (const auto& [id, caller] : callers_) {
-    if (caller->Overdue(now)) overdue.push_back(id);
+  for (const auto& [id, connection] : connections_) {
+    if (connection->Overdue(now)) overdue.push_back(id);
   }
-  for (std::uint64_t id : overdue) Drop(id);
-  sweep_.Start(kSweepEvery);
+  for (std::uint64_t id : overdue) CloseConnection(id);
+  sweep_timer_.Start(kSweepInterval);
 }
 
 }  // namespace indigosaddle::net
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -1,9 +1,9 @@
-// The operators' address: HTTP/1.1 on TCP, one call to a connection, for the platform's health checks, the
-// figures and the commands that empty the node and bring it back. Answers are made at once from what the
-// node holds, so a call is answered within a turn however busy the node is.
+// The operators' HTTP/1.1 server: serves the platform's health checks, the metrics and the commands that
+// quiesce the node and resume it. Each connection carries one request. Responses are made at once from the
+// node's own state, so a request is answered within one turn, however busy the node is.
 //
-// Bounds: connections (the oldest unfinished one gives way to a new one), bytes of a request's head, and
-// time from accept to a whole request. A caller that passes one is closed without an answer.
+// Limits: the number of connections (a new one evicts an old one), the bytes of a request's head, and the
+// time from accept to a complete request. A connection that exceeds a limit is closed without a response.
 #pragma once
 
 #include <cstddef>
@@ -18,49 +18,55 @@
 
 namespace indigosaddle::net {
 
-struct AdminAnswer {
+// The response to one admin request.
+struct AdminResponse {
   int status = 200;
   std::string body;
   std::string content_type = "text/plain; charset=utf-8";
 };
 
+// Listens for admin requests, passes each to its handler and writes the response.
 class AdminServer {
  public:
+  // Makes the responses. Must outlive the server.
   class Handler {
    public:
     virtual ~Handler() = default;
-    virtual AdminAnswer OnAdmin(std::string_view method, std::string_view path) = 0;
+    // `path` is without the query string.
+    virtual AdminResponse OnAdminRequest(std::string_view method, std::string_view path) = 0;
   };
 
-  static constexpr std::size_t kMostCallers = 8;
-  static constexpr std::size_t kMostHead = std::size_t{16} * 1024;
+  static constexpr std::size_t kMaxConnections = 8;
+  static constexpr std::size_t kMaxHeadBytes = std::size_t{16} * 1024;  // of a request
 
   AdminServer(Loop& loop, Handler& handler);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
 
-  int Listen(const std::string& address);  // a negative code where that fails
-  std::string address() const;             // as bound; empty where it does not listen
+  // Listens on "ip:port". Returns 0, or a negative libuv error code.
+  int Listen(const std::string& address);
+  // The address that it listens on; empty while it does not listen.
+  std::string address() const;
 
  private:
-  class Caller;
+  class Connection;
 
   void Accept();
   void StopListening();
-  void Drop(std::uint64_t caller);
-  void Sweep();
+  void CloseConnection(std::uint64_t connection);
+  void CloseOverdue();
 
   Loop& loop_;
   Handler& handler_;
   uv_tcp_t* listener_ = nullptr;  // closed and freed by the loop
-  std::uint64_t last_caller_ = 0;
-  std::map<std::uint64_t, std::unique_ptr<Caller>> callers_;
-  std::list<std::unique_ptr<Caller>> buried_;  // may still be in one of their callbacks
-  Timer bury_, sweep_;
+  std::uint64_t last_connection_ = 0;
+  std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;
+  std::list<std::unique_ptr<Connection>> closed_;  // deleted later: they may still be in a callback
+  Timer deletion_timer_, sweep_timer_;
 };
 
-// The answer as written on the wire, with the connection's end announced.
-std::string FormatAnswer(const AdminAnswer& answer);
+// The response as written on the wire, announcing that the connection closes.
+std::string FormatResponse(const AdminResponse& response);
 
 }  // namespace indigosaddle::net
--- a/src/net/control_server.cpp
+++ b/src/net/control_server.cpp
@@ -16,13 +16,14 @@
 namespace {
 
 constexpr int kBacklog = 8;
-constexpr Micros kSweepEvery = std::chrono::milliseconds(500);
-constexpr Micros kLineTime = std::chrono::seconds(5);  // from a line's first byte to its end
-constexpr Micros kQuiet = std::chrono::seconds(120);   // with no request; an operator's tool asks again
-constexpr Micros kUntaken = std::chrono::seconds(5);   // answers that the peer does not read
-constexpr std::size_t kMostWaiting = 16;               // requests of one peer without an answer
-
-// Whether another process listens there.
+constexpr Micros kSweepInterval = std::chrono::milliseconds(500);
+constexpr Micros kLineTimeout = std::chrono::seconds(5);  // from a line's first byte to its end
+// Without a request. The operators' tool connects again when it needs to.
+constexpr Micros kIdleTimeout = std::chrono::seconds(120);
+constexpr Micros kWriteTimeout = std::chrono::seconds(5);  // for the peer to read answers
+constexpr std::size_t kMaxPendingRequests = 16;            // of one peer, without an answer
+
+// Whether another process listens on the socket. True also if that can't be found out.
 bool InUse(const sockaddr_un& address) {
   const int probe = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
   if (probe < 0) return true;
@@ -40,7 +41,7 @@
     handle_->owner = this;
     uv_pipe_init(server.loop_.raw(), &handle_->pipe, 0);
     handle_->pipe.data = handle_;
-    quiet_since_ = server.loop_.Now();
+    last_activity_at_ = server.loop_.Now();
   }
   ~Peer() {
     handle_->owner = nullptr;
@@ -54,7 +55,7 @@
     return uv_accept(reinterpret_cast<uv_stream_t*>(listener), stream()) == 0;
   }
 
-  // The peer's user; nothing where the system does not say.
+  // Gets the peer's user. Returns false if the system does not report it.
   bool Credentials(ucred& peer) const {
     uv_os_fd_t descriptor = -1;
     socklen_t size = sizeof peer;
@@ -77,12 +78,12 @@
                }) == 0;
   }
 
-  void Write(std::string line, bool answers) {
+  void Write(std::string line, bool is_answer) {
     line += '\n';
-    if (answers && waiting_ > 0) --waiting_;
+    if (is_answer && pending_requests_ > 0) --pending_requests_;
     handle_->unwritten += line.size();
-    quiet_since_ = server_.loop_.Now();
-    if (handle_->unwritten > kMostUnwritten) return server_.Drop(id_);
+    last_activity_at_ = server_.loop_.Now();
+    if (handle_->unwritten > kMaxUnwrittenBytes) return server_.Drop(id_);
     auto* pending = new Pending{{}, handle_, std::move(line)};  // deleted in the callback
     pending->request.data = pending;
     const uv_buf_t buffer = uv_buf_init(pending->bytes.data(), static_cast<unsigned>(pending->bytes.size()));
@@ -90,7 +91,7 @@
       const std::unique_ptr<Pending> written(static_cast<Pending*>(request->data));
       Handle* handle = written->handle;
       handle->unwritten -= written->bytes.size();
-      if (handle->owner != nullptr && (status < 0 || handle->owner->Over()))
+      if (handle->owner != nullptr && (status < 0 || handle->owner->Done()))
         handle->owner->server_.Drop(handle->owner->id_);
     });
     if (error == 0) return;
@@ -99,16 +100,17 @@
   }
 
   bool Overdue(Micros now) const {
-    if (handle_->unwritten > 0) return now - quiet_since_ >= kUntaken;
-    if (waiting_ > 0) return false;  // the node's own duty
-    if (!bytes_.empty()) return now - line_since_ >= kLineTime;
-    return now - quiet_since_ >= kQuiet;
+    if (handle_->unwritten > 0) return now - last_activity_at_ >= kWriteTimeout;
+    if (pending_requests_ > 0) return false;  // the node still has to answer
+    if (!line_.empty()) return now - line_started_at_ >= kLineTimeout;
+    return now - last_activity_at_ >= kIdleTimeout;
   }
 
-  void Refuse(std::string_view why) {  // its last words; what comes after them is not read
+  // Answers a last time and reads nothing more. The next sweep drops the peer.
+  void Refuse(std::string_view why) {
     uv_read_stop(stream());
     refused_ = true;
-    bytes_.clear();
+    line_.clear();
     Write(fmt::format(R"({{"ok":false,"text":"{}"}})", why), false);
   }
   bool refused() const { return refused_; }
@@ -125,41 +127,42 @@
     std::string bytes;
   };
 
-  // A peer that has ended its sending alone is still owed the answers to what it asked.
+  // A peer that has only half-closed the connection still gets the answers to its requests.
   void OnEnd(int error) {
     uv_read_stop(stream());
-    ended_ = true;
+    peer_ended_ = true;
     uv_os_fd_t descriptor = -1;
     uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->pipe), &descriptor);
-    pollfd closed{descriptor, 0, 0};
-    const bool listens = error == UV_EOF && poll(&closed, 1, 0) == 0;  // POLLHUP: closed as a whole
-    if (!listens || Over()) server_.Drop(id_);
+    pollfd hang_up{descriptor, 0, 0};
+    const bool half_closed =
+        error == UV_EOF && poll(&hang_up, 1, 0) == 0;  // POLLHUP: closed in both directions
+    if (!half_closed || Done()) server_.Drop(id_);
   }
-  bool Over() const { return ended_ && waiting_ == 0 && handle_->unwritten == 0; }
+  bool Done() const { return peer_ended_ && pending_requests_ == 0 && handle_->unwritten == 0; }
 
   uv_stream_t* stream() { return reinterpret_cast<uv_stream_t*>(&handle_->pipe); }
 
   void OnBytes(std::string_view bytes) {
     const Micros now = server_.loop_.Now();
-    if (bytes_.empty()) line_since_ = now;
-    quiet_since_ = now;
-    Handle* const handle = handle_;  // a request may end this peer
+    if (line_.empty()) line_started_at_ = now;
+    last_activity_at_ = now;
+    Handle* const handle = handle_;  // the request may destroy this peer
     while (!bytes.empty()) {
       const std::size_t end = bytes.find('\n');
-      bytes_.append(bytes.substr(0, end));
-      if (bytes_.size() > kMostLine) {
+      line_.append(bytes.substr(0, end));
+      if (line_.size() > kMaxLineBytes) {
         server_.handler_.OnControlRefused(0, "a request that is too long");
         return Refuse("the request is too long");
       }
       if (end == std::string_view::npos) return;
       bytes.remove_prefix(end + 1);
-      const std::string line = std::exchange(bytes_, {});
-      line_since_ = now;
-      if (++waiting_ > kMostWaiting) {
+      const std::string line = std::exchange(line_, {});
+      line_started_at_ = now;
+      if (++pending_requests_ > kMaxPendingRequests) {
         server_.handler_.OnControlRefused(0, "too many requests at once");
         return Refuse("too many requests at once");
       }
-      server_.handler_.OnControl(id_, line);
+      server_.handler_.OnControlRequest(id_, line);
       if (handle->owner == nullptr) return;
     }
   }
@@ -167,14 +170,14 @@
   Handle* handle_;
   ControlServer& server_;
   const std::uint64_t id_;
-  std::string bytes_;  // of a line that has not ended
-  std::size_t waiting_ = 0;
-  Micros quiet_since_{0}, line_since_{0};
-  bool refused_ = false, ended_ = false;  // ended: by the peer, its sending
+  std::string line_;  // the line that is arriving
+  std::size_t pending_requests_ = 0;
+  Micros last_activity_at_{0}, line_started_at_{0};
+  bool refused_ = false, peer_ended_ = false;  // the peer closed or half-closed
 };
 
 ControlServer::ControlServer(Loop& loop, Handler& handler)
-    : loop_(loop), handler_(handler), sweep_(loop, [this] { Sweep(); }) {}
+    : loop_(loop), handler_(handler), sweep_timer_(loop, [this] { DropOverdue(); }) {}
 
 ControlServer::~ControlServer() {
   if (listener_ == nullptr) return;
@@ -190,18 +193,18 @@
     return fmt::format("the path is longer than {} characters", sizeof address.sun_path - 1);
   }
   std::memcpy(address.sun_path, path.data(), path.size());
-  struct stat about {};
-  if (lstat(path.c_str(), &about) == 0) {
-    if (!S_ISSOCK(about.st_mode)) return "a file of that name is there, and is no socket";
+  struct stat file_status {};
+  if (lstat(path.c_str(), &file_status) == 0) {
+    if (!S_ISSOCK(file_status.st_mode)) return "a file of that name is there, and is no socket";
     if (InUse(address)) return "another process listens there";
     unlink(path.c_str());
   }
   listener_ = new uv_pipe_t{};
   uv_pipe_init(loop_.raw(), listener_, 0);
   listener_->data = this;
-  const mode_t before = umask(0177);  // never readable by others, not even for a moment
+  const mode_t old_mask = umask(0177);  // other users must not be able to open it, not even for a moment
   int error = uv_pipe_bind(listener_, path.c_str());
-  umask(before);
+  umask(old_mask);
   if (error == 0) {
     error =
         uv_listen(reinterpret_cast<uv_stream_t*>(listener_), kBacklog, [](uv_stream_t* stream, int status) {
@@ -214,7 +217,7 @@
     return uv_strerror(error);
   }
   path_ = path;
-  sweep_.Start(kSweepEvery);
+  sweep_timer_.Start(kSweepInterval);
   return {};
 }
 
@@ -226,7 +229,7 @@
   if (!peer->Credentials(credentials) || (credentials.uid != geteuid() && credentials.uid != 0)) {
     return handler_.OnControlRefused(credentials.uid, "another user");
   }
-  if (peers_.size() >= kMostPeers) return handler_.OnControlRefused(credentials.uid, "too many connections");
+  if (peers_.size() >= kMaxPeers) return handler_.OnControlRefused(credentials.uid, "too many connections");
   if (!peer->Read()) return;
   peers_.emplace(id, std::move(peer));
 }
@@ -237,11 +240,11 @@
 
 void ControlServer::Drop(std::uint64_t peer) { peers_.erase(peer); }
 
-void ControlServer::Sweep() {
+void ControlServer::DropOverdue() {
   const Micros now = loop_.Now();
   std::erase_if(peers_,
                 [&](const auto& peer) { return peer.second->refused() || peer.second->Overdue(now); });
-  sweep_.Start(kSweepEvery);
+  sweep_timer_.Start(kSweepInterval);
 }
 
 }  // namespace indigosaddle::net
--- a/src/net/control_server.h
+++ b/src/net/control_server.h
@@ -1,9 +1,10 @@
-// The control socket: a Unix-domain socket that takes one JSON object a line and answers each with one. For
-// the operators' own commands on the same machine: mode 0600, and a peer of another user is refused by its
-// credentials.
+// The control socket: a Unix-domain socket for the operators' commands on the same machine. Each line is one
+// JSON object, and each is answered with one line. The socket has mode 0600, and a peer that runs as another
+// user (root excepted) is refused by its credentials.
 //
-// Bounds: connections, bytes of a line, requests waiting for their answers, time for a line, time for a
-// reader. A peer that passes one is closed; the node's serving waits for none of them.
+// Limits: the number of connections, the bytes of a line, the requests of a peer without an answer, the time
+// for a line, and the time for a peer to read answers. A peer that exceeds one is disconnected. The node's
+// message delivery never waits for a peer.
 #pragma once
 
 #include <cstddef>
@@ -18,28 +19,33 @@
 
 namespace indigosaddle::net {
 
+// Listens on the control socket, passes each line to its handler and writes the answers.
 class ControlServer {
  public:
+  // Handles the requests. Must outlive the server.
   class Handler {
    public:
     virtual ~Handler() = default;
-    // To be answered by Answer, now or later; an answer to a peer that has gone is dropped. `line` is without
-    // its end.
-    virtual void OnControl(std::uint64_t peer, std::string_view line) = 0;
+    // Must be answered by Answer, now or later; an answer to a peer that is gone is dropped. `line` is
+    // without the line end.
+    virtual void OnControlRequest(std::uint64_t peer, std::string_view line) = 0;
+    // A peer was refused or disconnected, for the log. `uid` is 0 where a connected peer exceeded a limit,
+    // and where the system does not report the user.
     virtual void OnControlRefused(std::uint64_t uid, std::string_view reason) = 0;
   };
 
-  static constexpr std::size_t kMostPeers = 8;
-  static constexpr std::size_t kMostLine = std::size_t{256} * 1024;
-  static constexpr std::size_t kMostUnwritten = std::size_t{1024} * 1024;
+  static constexpr std::size_t kMaxPeers = 8;
+  static constexpr std::size_t kMaxLineBytes = std::size_t{256} * 1024;
+  static constexpr std::size_t kMaxUnwrittenBytes = std::size_t{1024} * 1024;  // of answers to one peer
 
   ControlServer(Loop& loop, Handler& handler);
   ~ControlServer();
   ControlServer(const ControlServer&) = delete;
   ControlServer& operator=(const ControlServer&) = delete;
 
-  // Empty where it listens, else why not. A file of that name on which nobody listens is replaced.
+  // Returns the reason for a failure; empty on success. Replaces a socket file on which nobody listens.
   std::string Listen(const std::string& path);
+  // Answers one request of the peer. `line` is without the line end.
   void Answer(std::uint64_t peer, std::string line);
   std::size_t peers() const { return peers_.size(); }
 
@@ -48,7 +54,7 @@
 
   void Accept();
   void Drop(std::uint64_t peer);
-  void Sweep();
+  void DropOverdue();
 
   Loop& loop_;
   Handler& handler_;
@@ -56,7 +62,7 @@
   std::string path_;
   std::uint64_t last_peer_ = 0;
   std::map<std::uint64_t, std::unique_ptr<Peer>> peers_;
-  Timer sweep_;
+  Timer sweep_timer_;
 };
 
 }  // namespace indigosaddle::net
--- a/src/net/notices.cpp
+++ b/src/net/notices.cpp
@@ -9,23 +9,23 @@
 namespace indigosaddle::net {
 namespace {
 
-constexpr std::size_t kMostAnswerBody = std::size_t{64} * 1024;
-constexpr std::size_t kMostBody = std::size_t{60} * 1024;  // of one request
-// A message is lost where its notice comes 300 ms after its time, and the platform answers at once: a
-// connection that says nothing is given up early enough for two more tries. A notice that comes twice does no
+constexpr std::size_t kMaxResponseBodyBytes = std::size_t{64} * 1024;
+constexpr std::size_t kMaxRequestBodyBytes = std::size_t{60} * 1024;
+// A message counts as lost if its notice comes more than 300 ms late. The platform normally responds at once,
+// so a request without a response is given up early enough for two more attempts. A duplicate notice does no
 // harm.
-constexpr Micros kPatience = std::chrono::milliseconds(100);
-constexpr Micros kMostPatience = std::chrono::seconds(1);  // of one that goes on saying nothing
-constexpr Micros kLeastPause = std::chrono::milliseconds(20);
-constexpr Micros kMostPause = std::chrono::milliseconds(500);
+constexpr Micros kMinResponseTimeout = std::chrono::milliseconds(100);
+constexpr Micros kMaxResponseTimeout = std::chrono::seconds(1);  // after repeated timeouts
+constexpr Micros kMinRetryDelay = std::chrono::milliseconds(20);
+constexpr Micros kMaxRetryDelay = std::chrono::milliseconds(500);
 
 }  // namespace
 
-std::string FormatFailed(const std::string& id) {
+std::string FormatFailedNotice(const std::string& id) {
   return nlohmann::ordered_json{{"id", id}, {"state", "failed"}}.dump();
 }
 
-std::string FormatReturned(const std::string& id, Micros not_before) {
+std::string FormatReturnedNotice(const std::string& id, Micros not_before) {
   nlohmann::ordered_json line{{"id", id}, {"state", "returned"}};
   const auto millis = std::chrono::ceil<std::chrono::milliseconds>(not_before).count();
   if (millis > 0) line["after_ms"] = millis;
@@ -34,81 +34,85 @@
 
 class Notices::Exchange : private Stream::Listener {
  public:
-  Exchange(Notices& owner, std::string post)
-      : owner_(owner), post_(std::move(post)), reader_(kMostAnswerBody), stream_(owner.loop_, *this) {}
+  Exchange(Notices& owner, std::string request)
+      : owner_(owner),
+        request_(std::move(request)),
+        reader_(kMaxResponseBodyBytes),
+        stream_(owner.loop_, *this) {}
 
-  // False where it can't begin.
+  // Returns false if it can't connect.
   bool Begin() { return stream_.Connect(owner_.address_) == 0; }
-  bool MustReadFirst(Timer& timer) const { return up_ && RestartIfUnread(timer, stream_); }
-  // From now on nothing of it is heard.
-  void Silence() { stream_.Close(); }
+  // Whether bytes of the response lie unread. The timer is then restarted.
+  bool MustReadFirst(Timer& timer) const { return connected_ && RestartIfUnread(timer, stream_); }
+  // No callback comes any more.
+  void Close() { stream_.Close(); }
 
  private:
   void OnConnected(int error) override {
-    up_ = error == 0 && stream_.StartReading() == 0;
-    if (!up_ || stream_.Write(std::exchange(post_, {})) != 0) owner_.Again();
+    connected_ = error == 0 && stream_.StartReading() == 0;
+    if (!connected_ || stream_.Write(std::exchange(request_, {})) != 0) owner_.Retry();
   }
-  // An answer that begins before the post has left whole is none to it.
+  // A response that begins before the request has been written wholly is not a response to it.
   void OnBytes(std::string_view bytes) override {
-    const bool good = reader_.Read(bytes);
-    if (stream_.unwritten() > 0 || (!good && !reader_.done())) return owner_.Again();
-    if (reader_.done()) owner_.Answered(reader_);
+    const bool valid = reader_.Read(bytes);
+    if (stream_.unwritten() > 0 || (!valid && !reader_.done())) return owner_.Retry();
+    if (reader_.done()) owner_.OnResponse(reader_);
   }
   void OnEnd(int) override {
     reader_.ReadEnd();
-    reader_.done() ? owner_.Answered(reader_) : owner_.Again();
+    reader_.done() ? owner_.OnResponse(reader_) : owner_.Retry();
   }
 
   Notices& owner_;
-  std::string post_;
+  std::string request_;
   HttpReader reader_;
   Stream stream_;
-  bool up_ = false;
+  bool connected_ = false;
 };
 
 Notices::Notices(Loop& loop, Handler& handler, std::string address)
     : loop_(loop),
       handler_(handler),
       address_(std::move(address)),
-      patience_(loop, [this] { OutOfPatience(); }),
-      again_(loop, [this] { Send(); }),
-      bury_(loop, [this] { buried_.clear(); }),
-      pause_(kLeastPause),
-      patient_for_(kPatience) {}
+      response_timer_(loop, [this] { OnResponseTimeout(); }),
+      retry_timer_(loop, [this] { Send(); }),
+      deletion_timer_(loop, [this] { closed_.clear(); }),
+      retry_delay_(kMinRetryDelay),
+      response_timeout_(kMinResponseTimeout) {}
 
 Notices::~Notices() = default;
 
 void Notices::Post(std::vector<NoticeLine> lines) {
   lines_ = std::move(lines);
-  at_once_ = lines_.size();
+  lines_per_request_ = lines_.size();
   Send();
 }
 
-void Notices::Move(std::string address) {
+void Notices::SetAddress(std::string address) {
   address_ = std::move(address);
-  Drop();
-  pause_ = kLeastPause;
-  again_.Start(Micros(0));
+  CloseExchange();
+  retry_delay_ = kMinRetryDelay;
+  retry_timer_.Start(Micros(0));
 }
 
 void Notices::Close() {
-  Drop();
-  again_.Stop();
+  CloseExchange();
+  retry_timer_.Stop();
 }
 
 void Notices::Send() {
-  if (lines_.empty() || out_ != nullptr) return;
-  patience_.Start(patient_for_);
-  out_ = std::make_unique<Exchange>(*this, NextPost());
-  if (!out_->Begin()) Again();
+  if (lines_.empty() || in_flight_ != nullptr) return;
+  response_timer_.Start(response_timeout_);
+  in_flight_ = std::make_unique<Exchange>(*this, NextRequest());
+  if (!in_flight_->Begin()) Retry();
 }
 
-std::string Notices::NextPost() {
+std::string Notices::NextRequest() {
   std::string body;
-  at_once_ = std::min(at_once_, lines_.size());
-  for (std::size_t i = 0; i < at_once_; ++i) {
-    if (i > 0 && body.size() + lines_[i].json.size() > kMostBody) {
-      at_once_ = i;
+  lines_per_request_ = std::min(lines_per_request_, lines_.size());
+  for (std::size_t i = 0; i < lines_per_request_; ++i) {
+    if (i > 0 && body.size() + lines_[i].json.size() > kMaxRequestBodyBytes) {
+      lines_per_request_ = i;
       break;
     }
     body += lines_[i].json + "\n";
@@ -120,45 +124,46 @@
          body;
 }
 
-void Notices::Answered(const HttpReader& answer) {
-  const int status = answer.status();
-  const bool taken = status >= 200 && status < 300;
-  if (!taken && status != 400) return Again();
-  Drop();
-  pause_ = kLeastPause;
-  patient_for_ = kPatience;
-  if (!taken && at_once_ > 1) {  // one of them can't be read: find it, so that the rest get through
-    at_once_ = (at_once_ + 1) / 2;
+void Notices::OnResponse(const HttpReader& response) {
+  const int status = response.status();
+  const bool accepted = status >= 200 && status < 300;
+  if (!accepted && status != 400) return Retry();
+  CloseExchange();
+  retry_delay_ = kMinRetryDelay;
+  response_timeout_ = kMinResponseTimeout;
+  if (!accepted && lines_per_request_ > 1) {
+    // A line is unreadable. The request is halved until that line is alone, so that the others get through.
+    lines_per_request_ = (lines_per_request_ + 1) / 2;
   } else {
-    if (!taken) handler_.OnNoticeUnreadable(lines_.front().json);
-    for (std::size_t i = 0; i < at_once_; ++i) taken_.push_back(lines_[i].serial);
-    lines_.erase(lines_.begin(), lines_.begin() + static_cast<std::ptrdiff_t>(at_once_));
-    if (taken) at_once_ = lines_.size();
+    if (!accepted) handler_.OnNoticeUnreadable(lines_.front().json);
+    for (std::size_t i = 0; i < lines_per_request_; ++i) accepted_.push_back(lines_[i].serial);
+    lines_.erase(lines_.begin(), lines_.begin() + static_cast<std::ptrdiff_t>(lines_per_request_));
+    if (accepted) lines_per_request_ = lines_.size();
   }
-  if (lines_.empty()) return handler_.OnNoticesTaken(std::exchange(taken_, {}));
-  again_.Start(Micros(0));
+  if (lines_.empty()) return handler_.OnNoticesAccepted(std::exchange(accepted_, {}));
+  retry_timer_.Start(Micros(0));
 }
 
-void Notices::OutOfPatience() {
-  if (out_ != nullptr && out_->MustReadFirst(patience_)) return;
-  patient_for_ = std::min(2 * patient_for_, kMostPatience);
-  Again();
+void Notices::OnResponseTimeout() {
+  if (in_flight_ != nullptr && in_flight_->MustReadFirst(response_timer_)) return;
+  response_timeout_ = std::min(2 * response_timeout_, kMaxResponseTimeout);
+  Retry();
 }
 
-// On a new connection, after a pause that grows.
-void Notices::Again() {
-  Drop();
+// Repeats the request on a new connection, after a delay that grows each time.
+void Notices::Retry() {
+  CloseExchange();
   if (lines_.empty()) return;
-  again_.Start(pause_);
-  pause_ = std::min(2 * pause_, kMostPause);
+  retry_timer_.Start(retry_delay_);
+  retry_delay_ = std::min(2 * retry_delay_, kMaxRetryDelay);
 }
 
-void Notices::Drop() {
-  patience_.Stop();
-  if (out_ == nullptr) return;
-  out_->Silence();
-  buried_.push_back(std::move(out_));
-  bury_.Start(Micros(0));
+void Notices::CloseExchange() {
+  response_timer_.Stop();
+  if (in_flight_ == nullptr) return;
+  in_flight_->Close();
+  closed_.push_back(std::move(in_flight_));
+  deletion_timer_.Start(Micros(0));
 }
 
 }  // namespace indigosaddle::net
--- a/src/net/notices.h
+++ b/src/net/notices.h
@@ -1,5 +1,6 @@
-// Tells the platform how messages ended: one batch at a time, again until it is answered. Each post has a
-// connection of its own, to this machine's agent: whatever else comes on it has nobody to reach.
+// Sends the platform notices of how messages ended: one batch at a time, repeated until it is accepted. Each
+// request has a connection of its own to the agent on this machine, so stray bytes on it can't be taken for
+// the response to another request.
 #pragma once
 
 #include <cstdint>
@@ -13,51 +14,62 @@
 
 namespace indigosaddle::net {
 
+// The notice of one message, as one line of JSON.
 struct NoticeLine {
-  std::uint64_t serial = 0;
+  std::uint64_t serial = 0;  // of the message at this node
   std::string json;
 };
 
-std::string FormatFailed(const std::string& id);
-std::string FormatReturned(const std::string& id, Micros not_before);
+// The JSON of a notice that the message with this id failed, or was returned. `not_before`: how long the
+// client should wait before it sends the message again; zero: not reported.
+std::string FormatFailedNotice(const std::string& id);
+std::string FormatReturnedNotice(const std::string& id, Micros not_before);
 
+// Sends batches of notices and repeats them after failures.
 class Notices {
  public:
+  // Receives the outcome. Must outlive this.
   class Handler {
    public:
     virtual ~Handler() = default;
-    virtual void OnNoticesTaken(const std::vector<std::uint64_t>& serials) = 0;
-    virtual void OnNoticeUnreadable(std::string_view line) = 0;  // given up: it would never be read
+    // The whole batch is done. `serials`: all messages of the batch.
+    virtual void OnNoticesAccepted(const std::vector<std::uint64_t>& serials) = 0;
+    // The platform can't read this notice. It is given up, as repeating it would not help.
+    virtual void OnNoticeUnreadable(std::string_view line) = 0;
   };
 
+  // `address`: ip:port of the platform's agent.
   Notices(Loop& loop, Handler& handler, std::string address);
   ~Notices();
 
-  void Post(std::vector<NoticeLine> lines);  // only after the last batch was taken
-  void Move(std::string address);            // what is out is posted again there: that does no harm
+  // Sends a batch. To be called only after the previous batch was accepted.
+  void Post(std::vector<NoticeLine> lines);
+  // Sends to another address from now on. A request in flight is repeated there: duplicates do no harm.
+  void SetAddress(std::string address);
+  // Stops sending. Nothing is reported any more.
   void Close();
 
  private:
-  // One post and its answer, on a connection that carries nothing else.
+  // One request and its response, on a connection that carries nothing else.
   class Exchange;
 
   void Send();
-  std::string NextPost();
-  void Answered(const HttpReader& answer);
-  void OutOfPatience();
-  void Again();
-  void Drop();
+  std::string NextRequest();
+  void OnResponse(const HttpReader& response);
+  void OnResponseTimeout();
+  void Retry();
+  void CloseExchange();
 
   Loop& loop_;
   Handler& handler_;
   std::string address_;
   std::vector<NoticeLine> lines_;
-  std::vector<std::uint64_t> taken_;  // of the present batch
-  std::size_t at_once_ = 0;           // of the lines, in the request that is out
-  std::unique_ptr<Exchange> out_;
-  std::vector<std::unique_ptr<Exchange>> buried_;  // silent, but may still be in one of their callbacks
-  Timer patience_, again_, bury_;
-  Micros pause_, patient_for_;
+  std::vector<std::uint64_t> accepted_;  // of the present batch
+  std::size_t lines_per_request_ = 0;    // of the request in flight
+  std::unique_ptr<Exchange> in_flight_;
+  std::vector<std::unique_ptr<Exchange>> closed_;  // deleted later: they may still be in a callback
+  Timer response_timer_, retry_timer_, deletion_timer_;
+  Micros retry_delay_, response_timeout_;
 };
 
 }  // namespace indigosaddle::net
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -68,7 +68,7 @@
   void Did(Action action) override;
   void OnMembers(net::MemberListUpdate news) override;
   void OnWatchLost(std::string_view reason, Micros outdated_from) override;
-  void OnNoticesTaken(const std::vector<std::uint64_t>& serials) override;
+  void OnNoticesAccepted(const std::vector<std::uint64_t>& serials) override;
   void OnNoticeUnreadable(std::string_view line) override;
   net::CallPool::StartPermit MayBegin(std::uint64_t serial);
   static Action CallAction(const state::PendingMessage& owed);  // a first call, or one more
@@ -82,9 +82,9 @@
   std::string ConnectionFigures() const;
   nlohmann::json ConnectionStatus() const;
   void ReportConnections();
-  void OnControl(std::uint64_t peer, std::string_view line) override;
+  void OnControlRequest(std::uint64_t peer, std::string_view line) override;
   void OnControlRefused(std::uint64_t uid, std::string_view reason) override;
-  net::AdminAnswer OnAdmin(std::string_view method, std::string_view path) override;
+  net::AdminResponse OnAdminRequest(std::string_view method, std::string_view path) override;
 
   // Operations: emptying the node for a front, and a process that replaces this one.
   void Quiesce();
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -75,7 +75,7 @@
   Push(state::ListWatchLost{outdated_from});
 }
 
-void Node::OnNoticesTaken(const std::vector<std::uint64_t>& serials) {
+void Node::OnNoticesAccepted(const std::vector<std::uint64_t>& serials) {
   Push(state::NoticesAccepted{serials});
 }
 
--- a/src/node/node_operations.cpp
+++ b/src/node/node_operations.cpp
@@ -91,10 +91,10 @@
   arriving_->SetHandler(*this);
   discovery_ = std::move(arriving_);
   discovery_at_ = config_.discovery;
-  notices_.Move(config_.discovery);  // the platform's notices are taken where its list is
+  notices_.SetAddress(config_.discovery);  // the platform's notices are taken where its list is
 }
 
-void Node::OnControl(std::uint64_t peer, std::string_view line) {
+void Node::OnControlRequest(std::uint64_t peer, std::string_view line) {
   using nlohmann::json;
   const auto answer = [this, peer](const json& reply) {
     control_->Answer(peer, reply.dump(-1, ' ', false, json::error_handler_t::replace));
@@ -107,26 +107,26 @@
   if (!changes_.Request(request, answer)) answer({{"ok", false}, {"text", "unknown op"}});
 }
 
-net::AdminAnswer Node::OnAdmin(std::string_view method, std::string_view path) {
+net::AdminResponse Node::OnAdminRequest(std::string_view method, std::string_view path) {
   const bool get = method == "GET" || method == "HEAD";
-  const auto only = [&](bool allowed, auto&& answer) -> net::AdminAnswer {
+  const auto only = [&](bool allowed, auto&& answer) -> net::AdminResponse {
     if (!allowed) return {405, fmt::format("{} takes {}\n", path, get ? "POST" : "GET")};
     return answer();
   };
   if (path == "/admin/health") {
-    return only(get, [&]() -> net::AdminAnswer {
+    return only(get, [&]() -> net::AdminResponse {
       return {lifecycle_.phase() == Phase::kServing ? 200 : 503, fmt::format("{}\n", Standing())};
     });
   }
-  if (path == "/admin/stats") return only(get, [&]() -> net::AdminAnswer { return {200, Figures()}; });
+  if (path == "/admin/stats") return only(get, [&]() -> net::AdminResponse { return {200, Figures()}; });
   if (path == "/admin/quiesce") {
-    return only(method == "POST", [&]() -> net::AdminAnswer {
+    return only(method == "POST", [&]() -> net::AdminResponse {
       Quiesce();
       return {200, fmt::format("quiesced; {} messages open\n", state_.open())};
     });
   }
   if (path == "/admin/resume") {
-    return only(method == "POST", [&]() -> net::AdminAnswer {
+    return only(method == "POST", [&]() -> net::AdminResponse {
       if (lifecycle_.stopping()) return {503, "stopping\n"};
       ResumeWork();
       return {200, "ready\n"};
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -186,8 +186,8 @@
   std::vector<net::NoticeLine> lines;
   for (const state::Notice& notice : e.notices) {
     lines.push_back({notice.serial, notice.end == state::MessageEnd::kReturned
-                                        ? net::FormatReturned(notice.id, notice.not_before)
-                                        : net::FormatFailed(notice.id)});
+                                        ? net::FormatReturnedNotice(notice.id, notice.not_before)
+                                        : net::FormatFailedNotice(notice.id)});
   }
   notices_.Post(std::move(lines));
 }
--- a/tests/net_odd_notices_test.cpp
+++ b/tests/net_odd_notices_test.cpp
@@ -23,7 +23,7 @@
     });
     net::Loop loop;
     net::Notices notices(loop, *this, server.address());
-    notices.Post({{7, net::FormatFailed("a")}});
+    notices.Post({{7, net::FormatFailedNotice("a")}});
     const auto give_up = Clock::now() + std::chrono::seconds(10);
     net::Timer look(loop, [&] {
       !taken_.empty() || Clock::now() > give_up ? loop.Stop() : look.Start(std::chrono::milliseconds(5));
@@ -39,7 +39,7 @@
   int unreadable_ = 0;
 
  private:
-  void OnNoticesTaken(const std::vector<std::uint64_t>& serials) override { taken_ = serials; }
+  void OnNoticesAccepted(const std::vector<std::uint64_t>& serials) override { taken_ = serials; }
   void OnNoticeUnreadable(std::string_view) override { ++unreadable_; }
 };
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -148,9 +148,9 @@
 }
 
 TEST(Notice, OneJsonObject) {
-  EXPECT_EQ(FormatFailed("9b\"1"), R"({"id":"9b\"1","state":"failed"})");
-  EXPECT_EQ(FormatReturned("a", milliseconds(500)), R"({"id":"a","state":"returned","after_ms":500})");
-  EXPECT_EQ(FormatReturned("a", Micros(0)), R"({"id":"a","state":"returned"})");
+  EXPECT_EQ(FormatFailedNotice("9b\"1"), R"({"id":"9b\"1","state":"failed"})");
+  EXPECT_EQ(FormatReturnedNotice("a", milliseconds(500)), R"({"id":"a","state":"returned","after_ms":500})");
+  EXPECT_EQ(FormatReturnedNotice("a", Micros(0)), R"({"id":"a","state":"returned"})");
 }
 
 }  // namespace
