--- a/src/node/node.h
+++ b/src/node/node.h
@@ -62,29 +62,29 @@
 
   // What the sockets bring.
   void OnEnqueue(std::uint64_t connection, std::uint64_t command, net::Enqueue enqueue) override;
-  void OnClientGone(std::uint64_t connection, net::ClientEnd end, std::uint64_t commands,
-                    Micros lasted) override;
+  void OnClientClosed(std::uint64_t connection, net::ClientCloseReason end, std::uint64_t commands,
+                      Micros lasted) override;
   bool May(Action action) override;
   void Did(Action action) override;
-  void OnMembers(net::MemberNews news) override;
+  void OnMembers(net::MemberListUpdate news) override;
   void OnWatchLost(std::string_view reason, Micros outdated_from) override;
-  void OnNoticesTaken(const std::vector<std::uint64_t>& serials) override;
+  void OnNoticesAccepted(const std::vector<std::uint64_t>& serials) override;
   void OnNoticeUnreadable(std::string_view line) override;
   net::CallPool::StartPermit MayBegin(std::uint64_t serial);
   static Action CallAction(const state::PendingMessage& owed);  // a first call, or one more
   void OnCallEnded(const net::CallResult& result);
   // What the pool sees on its connections (node_connections.cpp).
-  void OnUnasked(const net::UnaskedBytes& unasked) override;
-  void OnNotBelieved(const net::DisbelievedAnswer& answer) override;
+  void OnUnsolicitedData(const net::UnsolicitedData& unasked) override;
+  void OnAnswerRejected(const net::RejectedAnswer& answer) override;
   void OnConnectionClosed(const net::ClosedConnection& closed) override;
-  void OnDoubted(const std::vector<std::uint64_t>& serials) override;
-  void OnTrustBreak(const net::ClosedConnection& connection) override;
+  void OnAnswersDoubtful(const std::vector<std::uint64_t>& serials) override;
+  void OnTrustViolation(const net::ClosedConnection& connection) override;
   std::string ConnectionFigures() const;
   nlohmann::json ConnectionStatus() const;
   void ReportConnections();
-  void OnControl(std::uint64_t peer, std::string_view line) override;
+  void OnControlRequest(std::uint64_t peer, std::string_view line) override;
   void OnControlRefused(std::uint64_t uid, std::string_view reason) override;
-  net::AdminAnswer OnAdmin(std::string_view method, std::string_view path) override;
+  net::AdminResponse OnAdminRequest(std::string_view method, std::string_view path) override;
 
   // Operations: emptying the node for a front, and a process that replaces this one.
   void Quiesce();
@@ -188,7 +188,7 @@
   class Arriving : public net::Discovery::Handler {
    public:
     explicit Arriving(Node& node) : node_(node) {}
-    void OnMembers(net::MemberNews news) override;
+    void OnMembers(net::MemberListUpdate news) override;
     void OnWatchLost(std::string_view reason, Micros outdated_from) override;
 
    private:
@@ -225,7 +225,7 @@
   std::uint64_t passes_since_step_ = 0;  // of the loop, begun behind the first step of a stop in this phase
   Micros now_{0}, wake_at_{0};           // of the last turn; for the next, as the module asked
   std::array<std::uint64_t, static_cast<std::size_t>(state::kLastAttemptResult) + 1> endings_{};
-  std::array<std::uint64_t, net::kClientEnds> client_ends_{};
+  std::array<std::uint64_t, net::kClientCloseReasons> client_ends_{};
   std::uint64_t unsure_rules_ = 0;  // messages whose birth several rules may bind
   std::uint64_t taken_ = 0, busy_ = 0, failed_ = 0, delivered_ = 0, returned_ = 0, given_up_ = 0;
   Micros started_at_{0};
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -15,7 +15,7 @@
   if (!enqueue.tenant.empty() && !config_.tenants.contains(enqueue.tenant)) {
     return server_.Reply(connection, command, "-ERR unknown tenant\r\n");
   }
-  const EnqueueFacts hand_in{enqueue.begun, enqueue.time_left, enqueue.handed_in_before,
+  const EnqueueFacts hand_in{enqueue.received_at, enqueue.time_left, enqueue.enqueued_before,
                              !enqueue.idempotency_key.empty()};
   const ApplicableRules born = rules_.RulesFor(enqueue.message_class, hand_in);
   if (!born.sure) {
@@ -34,24 +34,25 @@
   message.body = std::move(enqueue.body);
   message.destination = enqueue.destination;
   message.rules = born.rules;
-  message.deadline = enqueue.begun + enqueue.time_left;
+  message.deadline = enqueue.received_at + enqueue.time_left;
   Push(std::move(event));
 }
 
-void Node::OnClientGone(std::uint64_t connection, net::ClientEnd end, std::uint64_t commands, Micros lasted) {
+void Node::OnClientClosed(std::uint64_t connection, net::ClientCloseReason end, std::uint64_t commands,
+                          Micros lasted) {
   ++client_ends_[static_cast<std::size_t>(end)];
   ++clients_ended_in_phase_;
   log_.Write(base::kClientEnded, connection, net::NameOf(end), commands, lasted);
   Push(state::ClientGone{connection});
 }
 
-void Node::OnMembers(net::MemberNews news) {
+void Node::OnMembers(net::MemberListUpdate news) {
   list_lost_at_ = Micros(0);
   if (const std::uint64_t untold = watch_losses_.Over(); untold > 0) log_.Write(base::kWatchBack, untold);
   for (const std::string& skipped : news.skipped) log_.Write(base::kListSkipped, news.version, skipped);
   state::ListUpdate event;
   event.whole = news.whole;
-  event.unreadable = std::move(news.unsure);
+  event.unreadable = std::move(news.unreadable);
   for (net::Member& member : news.members) {
     state::ListedEndpoint listed;
     listed.endpoint.zone = zone_numbers_.Of(config_.zones, member.site, member.host);
@@ -74,7 +75,7 @@
   Push(state::ListWatchLost{outdated_from});
 }
 
-void Node::OnNoticesTaken(const std::vector<std::uint64_t>& serials) {
+void Node::OnNoticesAccepted(const std::vector<std::uint64_t>& serials) {
   Push(state::NoticesAccepted{serials});
 }
 
@@ -101,9 +102,10 @@
 }
 
 void Node::OnCallEnded(const net::CallResult& result) {
-  ++endings_[static_cast<std::size_t>(result.ending)];
+  ++endings_[static_cast<std::size_t>(result.attempt_result)];
   LogCall(result);
-  Push(state::CallEnded{result.serial, result.ending, result.latency, result.wait, result.load, loop_.Now()});
+  Push(state::CallEnded{result.serial, result.attempt_result, result.latency, result.wait, result.load,
+                        loop_.Now()});
 }
 
 }  // namespace indigosaddle::node
--- a/src/node/node_operations.cpp
+++ b/src/node/node_operations.cpp
@@ -56,8 +56,8 @@
 
 std::unique_ptr<net::Discovery> Node::MakeDiscovery(net::Discovery::Handler& handler) {
   const bool asked = config_.settings.discovery == Discovery::kOnRequest;
-  const net::AskPace pace =
-      net::PaceOfAsking(config_.settings.senders, asked ? config_.settings.must_ask_in : Micros(0));
+  const net::RequestPacing pace =
+      net::RequestPacingFor(config_.settings.senders, asked ? config_.settings.must_ask_in : Micros(0));
   return std::make_unique<net::Discovery>(loop_, handler, config_.discovery, pace, config_.settings.seed);
 }
 
@@ -75,7 +75,7 @@
   arriving_->Start();
 }
 
-void Node::Arriving::OnMembers(net::MemberNews news) {
+void Node::Arriving::OnMembers(net::MemberListUpdate news) {
   if (news.whole) node_.arrived_timer_.Start(Micros(0));  // not within its own callback
   node_.OnMembers(std::move(news));
 }
@@ -88,13 +88,13 @@
 void Node::Arrived() {
   if (arriving_ == nullptr) return;
   if (const std::uint64_t untold = new_watch_losses_.Over(); untold > 0) log_.Write(base::kWatchBack, untold);
-  arriving_->TellTo(*this);
+  arriving_->SetHandler(*this);
   discovery_ = std::move(arriving_);
   discovery_at_ = config_.discovery;
-  notices_.Move(config_.discovery);  // the platform's notices are taken where its list is
+  notices_.SetAddress(config_.discovery);  // the platform's notices are taken where its list is
 }
 
-void Node::OnControl(std::uint64_t peer, std::string_view line) {
+void Node::OnControlRequest(std::uint64_t peer, std::string_view line) {
   using nlohmann::json;
   const auto answer = [this, peer](const json& reply) {
     control_->Answer(peer, reply.dump(-1, ' ', false, json::error_handler_t::replace));
@@ -107,26 +107,26 @@
   if (!changes_.Request(request, answer)) answer({{"ok", false}, {"text", "unknown op"}});
 }
 
-net::AdminAnswer Node::OnAdmin(std::string_view method, std::string_view path) {
+net::AdminResponse Node::OnAdminRequest(std::string_view method, std::string_view path) {
   const bool get = method == "GET" || method == "HEAD";
-  const auto only = [&](bool allowed, auto&& answer) -> net::AdminAnswer {
+  const auto only = [&](bool allowed, auto&& answer) -> net::AdminResponse {
     if (!allowed) return {405, fmt::format("{} takes {}\n", path, get ? "POST" : "GET")};
     return answer();
   };
   if (path == "/admin/health") {
-    return only(get, [&]() -> net::AdminAnswer {
+    return only(get, [&]() -> net::AdminResponse {
       return {lifecycle_.phase() == Phase::kServing ? 200 : 503, fmt::format("{}\n", Standing())};
     });
   }
-  if (path == "/admin/stats") return only(get, [&]() -> net::AdminAnswer { return {200, Figures()}; });
+  if (path == "/admin/stats") return only(get, [&]() -> net::AdminResponse { return {200, Figures()}; });
   if (path == "/admin/quiesce") {
-    return only(method == "POST", [&]() -> net::AdminAnswer {
+    return only(method == "POST", [&]() -> net::AdminResponse {
       Quiesce();
       return {200, fmt::format("quiesced; {} messages open\n", state_.open())};
     });
   }
   if (path == "/admin/resume") {
-    return only(method == "POST", [&]() -> net::AdminAnswer {
+    return only(method == "POST", [&]() -> net::AdminResponse {
       if (lifecycle_.stopping()) return {503, "stopping\n"};
       ResumeWork();
       return {200, "ready\n"};
@@ -156,7 +156,7 @@
 
 void Node::LetQuietGo() {
   if (lifecycle_.phase() != Phase::kQuiesced || !May(Action::kDisconnectClients)) return;
-  server_.CloseQuiet(false);
+  server_.DisconnectIdle(false);
   quiet_timer_.Start(kLetGoEvery);
 }
 
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -56,7 +56,7 @@
     if (message != nullptr) message->may_accept = may_take = may_take || May(Action::kAcceptMessage);
     Reduce(event);
     // A client that has closed meanwhile has withdrawn, though the loop has not read that yet.
-    if (message != nullptr && server_.Gone(message->client.connection)) {
+    if (message != nullptr && server_.ClosedByClient(message->client.connection)) {
       Reduce(state::ClientGone{message->client.connection});
     }
   }
@@ -186,8 +186,8 @@
   std::vector<net::NoticeLine> lines;
   for (const state::Notice& notice : e.notices) {
     lines.push_back({notice.serial, notice.end == state::MessageEnd::kReturned
-                                        ? net::FormatReturned(notice.id, notice.not_before)
-                                        : net::FormatFailed(notice.id)});
+                                        ? net::FormatReturnedNotice(notice.id, notice.not_before)
+                                        : net::FormatFailedNotice(notice.id)});
   }
   notices_.Post(std::move(lines));
 }
