--- a/src/node/node.h
+++ b/src/node/node.h
@@ -68,7 +68,7 @@
 
   // Handlers of the sockets' events.
   void OnEnqueue(std::uint64_t connection, std::uint64_t command, net::Enqueue enqueue) override;
-  void OnClientGone(std::uint64_t connection, net::ClientEnd end, std::uint64_t commands,
+  void OnClientGone(std::uint64_t connection, net::ClientEnd reason, std::uint64_t commands,
                     Micros lasted) override;
   bool May(Action action) override;
   void Did(Action action) override;
@@ -80,7 +80,7 @@
   static Action CallAction(const state::PendingMessage& pending);  // first or repeated call
   void OnCallEnded(const net::CallResult& result);
   // Observations of the call pool on its connections (node_connections.cpp).
-  void OnUnasked(const net::UnaskedBytes& unasked) override;
+  void OnUnasked(const net::UnaskedBytes& unsolicited) override;
   void OnNotBelieved(const net::DisbelievedAnswer& answer) override;
   void OnConnectionClosed(const net::ClosedConnection& closed) override;
   void OnDoubted(const std::vector<std::uint64_t>& serials) override;
--- a/src/node/node_connections.cpp
+++ b/src/node/node_connections.cpp
@@ -11,12 +11,12 @@
 
 namespace indigosaddle::node {
 
-void Node::OnUnasked(const net::UnaskedBytes& unasked) {
-  const net::ConnectionNote& connection = unasked.connection;
-  log_.Write(base::kConnectionUnasked, unasked.endpoint, connection.number, NameOf(connection.state),
-             connection.age, connection.in_state, connection.calls, unasked.last_id, NameOf(unasked.why),
-             unasked.bytes, unasked.suspects, unasked.all_suspect);
-  if (unasked.wait > Micros(0)) Push(state::RetryAfterReceived{unasked.endpoint, unasked.wait});
+void Node::OnUnasked(const net::UnaskedBytes& unsolicited) {
+  const net::ConnectionNote& connection = unsolicited.connection;
+  log_.Write(base::kConnectionUnasked, unsolicited.endpoint, connection.number, NameOf(connection.state),
+             connection.age, connection.in_state, connection.calls, unsolicited.last_id,
+             NameOf(unsolicited.why), unsolicited.bytes, unsolicited.suspects, unsolicited.all_suspect);
+  if (unsolicited.wait > Micros(0)) Push(state::RetryAfterReceived{unsolicited.endpoint, unsolicited.wait});
 }
 
 void Node::OnNotBelieved(const net::DisbelievedAnswer& answer) {
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -38,10 +38,11 @@
   Push(std::move(event));
 }
 
-void Node::OnClientGone(std::uint64_t connection, net::ClientEnd end, std::uint64_t commands, Micros lasted) {
-  ++client_close_reasons_[static_cast<std::size_t>(end)];
+void Node::OnClientGone(std::uint64_t connection, net::ClientEnd reason, std::uint64_t commands,
+                        Micros lasted) {
+  ++client_close_reasons_[static_cast<std::size_t>(reason)];
   ++clients_ended_in_phase_;
-  log_.Write(base::kClientEnded, connection, net::NameOf(end), commands, lasted);
+  log_.Write(base::kClientEnded, connection, net::NameOf(reason), commands, lasted);
   Push(state::ClientGone{connection});
 }
 
