--- a/src/node/node_connections.cpp
+++ b/src/node/node_connections.cpp
@@ -1,5 +1,5 @@
-// What the pool of calls sees on its connections: logged, counted, and told to the reducer where it bears on
-// a message. What follows of it for calls is decided by brain/connection_trust.h.
+// Observations of the call pool on its connections: they are logged and counted, and passed to the reducer if
+// they concern a message. Their consequences for calls are decided in brain/connection_trust.h.
 #include <fmt/format.h>
 
 #include <cstdlib>
@@ -11,12 +11,12 @@
 
 namespace indigosaddle::node {
 
-void Node::OnUnsolicitedData(const net::UnsolicitedData& unasked) {
-  const net::ConnectionInfo& connection = unasked.connection;
-  log_.Write(base::kConnectionUnasked, unasked.endpoint, connection.number, NameOf(connection.state),
-             connection.age, connection.in_state, connection.calls, unasked.last_id, NameOf(unasked.why),
-             unasked.bytes, unasked.suspects, unasked.all_suspect);
-  if (unasked.wait > Micros(0)) Push(state::RetryAfterReceived{unasked.endpoint, unasked.wait});
+void Node::OnUnsolicitedData(const net::UnsolicitedData& unsolicited) {
+  const net::ConnectionInfo& connection = unsolicited.connection;
+  log_.Write(base::kConnectionUnasked, unsolicited.endpoint, connection.number, NameOf(connection.state),
+             connection.age, connection.in_state, connection.calls, unsolicited.last_id,
+             NameOf(unsolicited.why), unsolicited.bytes, unsolicited.suspects, unsolicited.all_suspect);
+  if (unsolicited.wait > Micros(0)) Push(state::RetryAfterReceived{unsolicited.endpoint, unsolicited.wait});
 }
 
 void Node::OnAnswerRejected(const net::RejectedAnswer& answer) {
@@ -36,23 +36,23 @@
   Push(state::AnswersInDoubt{serials});
 }
 
-void Node::OnTrustViolation(const net::ClosedConnection& connection) {
-  log_.Write(base::kTrustBreak, connection.endpoint, connection.connection.number,
-             NameOf(connection.connection.state), NameOf(connection.why));
+void Node::OnTrustViolation(const net::ClosedConnection& closed) {
+  log_.Write(base::kTrustBreak, closed.endpoint, closed.connection.number, NameOf(closed.connection.state),
+             NameOf(closed.why));
 #ifdef INDIGOSADDLE_CHECKED
   std::abort();
 #endif
 }
 
-void Node::ReportConnections() {
+void Node::LogConnectionReport() {
   const net::CallCounts& counts = pool_.counts();
   log_.Write(base::kConnectionReport, counts.opened, counts.reused, counts.unsolicited,
              counts.rejected_answers, counts.doubtful_answers, pool_.suspects(), pool_.all_suspect(),
              CountsByName<DenialReason>(counts.closed), CountsByName<DenialReason>(counts.not_reused));
 }
 
-// In the form of the other figures.
-std::string Node::ConnectionFigures() const {
+// Returns the metrics of connections in the statsd form of Metrics().
+std::string Node::ConnectionMetrics() const {
   const net::CallCounts& counts = pool_.counts();
   return fmt::format(
       "app.connections_opened:{}|c\napp.connections_reused:{}|c\napp.connection_unasked:{}|c\n"
