--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -9,7 +9,7 @@
 #include "base/log.h"
 #include "cli/cli.h"
 #include "net/loop.h"
-#include "node/changes.h"
+#include "node/config_changes.h"
 #include "node/node.h"
 
 namespace indigosaddle::cli {
--- a/src/config/transaction.h
+++ b/src/config/transaction.h
@@ -1,7 +1,7 @@
 // A change of the operator's configuration as a transaction: checked whole, staged, applied all at once, on
 // trial, then kept or undone. A state machine from event to effects: no I/O, no clock. What the check says
-// comes with the proposal; what the guard says comes as an event. src/node/changes.h carries the effects out,
-// in the order given.
+// comes with the proposal; what the guard says comes as an event. src/node/config_changes.h carries the
+// effects out, in the order given.
 //
 // Invariants, on which the tests stand:
 //  - exactly one generation is in force; without a trial it is the kept one;
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -12,10 +12,10 @@
 namespace indigosaddle::node {
 namespace {
 
-constexpr std::size_t kMostBytes = std::size_t{4} * 1024 * 1024;  // of the file
+constexpr std::size_t kMaxFileBytes = std::size_t{4} * 1024 * 1024;
 
 std::string ReadFile(const std::string& path) {
-  base::FileText file = base::ReadFile(path, kMostBytes);
+  base::FileText file = base::ReadFile(path, kMaxFileBytes);
   if (!file.trouble.empty()) throw ConfigError(file.trouble);
   return std::move(file.text);
 }
@@ -23,17 +23,21 @@
 }  // namespace
 
 Config MakeConfig(const config::Sources& sources) {
-  config::Effective e = config::Combine(sources);
-  if (sources.operators.given && e.platform_usable) CheckWhole(e), CheckFleet(e);
-  std::stable_sort(e.faults.begin(), e.faults.end(), [](const config::Fault& a, const config::Fault& b) {
-    return std::pair(a.at.line, a.at.column) < std::pair(b.at.line, b.at.column);
-  });
-  if (!e.faults.empty()) throw ConfigError(config::ToText(e.faults, "\n"));
-  const std::string& name = sources.platform.given ? e.platform_name : e.operators_name;
+  config::Effective effective = config::Combine(sources);
+  if (sources.operators.given && effective.platform_usable) {
+    CheckOperatorSettings(effective);
+    CheckFleet(effective);
+  }
+  std::stable_sort(effective.faults.begin(), effective.faults.end(),
+                   [](const config::Fault& a, const config::Fault& b) {
+                     return std::pair(a.at.line, a.at.column) < std::pair(b.at.line, b.at.column);
+                   });
+  if (!effective.faults.empty()) throw ConfigError(config::ToText(effective.faults, "\n"));
+  const std::string& name = sources.platform.given ? effective.platform_name : effective.operators_name;
   try {
-    Config config = FromMerged(e.merged);
-    if (sources.operators.given) ReadOperators(e.merged, config);
-    config.shown = config::ShowAll(e);
+    Config config = ConfigFromMerged(effective.merged);
+    if (sources.operators.given) ReadOperatorSettings(effective.merged, config);
+    config.shown = config::ShowAll(effective);
     return config;
   } catch (const ConfigError& error) {
     throw ConfigError(name.empty() ? error.what() : fmt::format("{}: {}", name, error.what()));
--- a/src/node/changes_judging.cpp
+++ b/src/node/config_changes_validation.cpp
@@ -1,4 +1,4 @@
-// Whether a proposed configuration may come into force in a node as it is now.
+// Checks whether a proposed operator's configuration may come into force in the running node.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "node/changes.h"
+#include "node/config_changes.h"
 
 namespace indigosaddle::node {
 namespace {
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-std::optional<Config> Changes::Judge(const std::string& document, std::vector<std::string>& faults,
-                                     bool undo) const {
+std::optional<Config> ConfigChanges::Validate(const std::string& document, std::vector<std::string>& faults,
+                                              bool undo) const {
   config::Sources sources = sources_;
   sources.operators.text = document;
   sources.operators.name = "change";
@@ -38,17 +38,17 @@
     return std::nullopt;
   }
   if (undo) return next;
-  for (const std::string& path : NeedRestart(running, next))
+  for (const std::string& path : PathsNeedingRestart(running, next))
     faults.push_back(path + ": changes only with a restart");
   for (const auto& [name, number] : running.classes) {
-    const std::size_t held = next.classes.contains(name) ? 0 : owner_.HeldOf(name, "");
+    const std::size_t held = next.classes.contains(name) ? 0 : owner_.HeldMessages(name, "");
     if (held > 0) {
       faults.push_back(
           fmt::format("classes[{}]: can't be removed while {} of its messages are held", name, held));
     }
   }
   for (const auto& [name, number] : running.tenants) {
-    const std::size_t held = next.tenants.contains(name) ? 0 : owner_.HeldOf("", name);
+    const std::size_t held = next.tenants.contains(name) ? 0 : owner_.HeldMessages("", name);
     if (held > 0) {
       faults.push_back(
           fmt::format("tenants[{}]: can't be removed while {} of its messages are held", name, held));
@@ -58,12 +58,12 @@
   return next;
 }
 
-config::Proposal Changes::Judged(config::Proposal proposal) const {
+config::Proposal ConfigChanges::Validated(config::Proposal proposal) const {
   proposal.faults.clear();
-  const auto next = Judge(proposal.document, proposal.faults, false);
+  const auto next = Validate(proposal.document, proposal.faults, false);
   proposal.no_change =
       next.has_value() &&
-      config::Differences(owner_.running().shown, Changed(owner_.running(), *next).shown).empty();
+      config::Differences(owner_.running().shown, WithRuntimeChanges(owner_.running(), *next).shown).empty();
   return proposal;
 }
 
--- a/src/node/config_fleet.cpp
+++ b/src/node/config_fleet.cpp
@@ -1,4 +1,4 @@
-// The part of the configuration that says what processes share.
+// The fleet's part of the operator's configuration: [fleet], [[peers]] and [[sites]].
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -13,112 +13,125 @@
 
 using nlohmann::json;
 
-constexpr double kLeastLeaseTimeouts = 5;  // a lease's questions need several round trips
+// Shortest lease in probe timeouts: renewing a lease takes several round trips.
+constexpr double kMinLeaseTimeouts = 5;
 
-std::size_t Tables(const json& whole, const char* list) {
+// Number of tables in a list; 0 if it is absent.
+std::size_t TableCount(const json& whole, const char* list) {
   const json* tables = config::At(whole, list, 0);
   return tables != nullptr && tables->is_array() ? tables->size() : 0;
 }
 
-std::string TextAt(const json& whole, const char* told, std::size_t index, const char* absent) {
-  const json* value = config::At(whole, told, index);
-  return value != nullptr && value->is_string() ? value->get<std::string>() : absent;
+// The text at this path, or `default_text` if it is absent or no text.
+std::string TextAt(const json& whole, const char* path, std::size_t index, const char* default_text) {
+  const json* value = config::At(whole, path, index);
+  return value != nullptr && value->is_string() ? value->get<std::string>() : default_text;
 }
 
-bool Votes(const json& whole, std::size_t index) {
+// Whether this peer is a voter; a peer is one unless it says that it is not.
+bool IsVoter(const json& whole, std::size_t index) {
   const json* value = config::At(whole, "operator.peers[].votes", index);
   return value == nullptr || *value != json(false);
 }
 
-bool IsAddress(const std::string& text) {
+// Whether the text is "ip:port" with a port that is not 0.
+bool IsAddressWithPort(const std::string& text) {
   sockaddr_storage address{};
   return net::ParseAddress(text, address) && !text.ends_with(":0");
 }
 
-void CheckSites(config::Effective& e) {
-  const auto say = [&](const std::string& path, const std::string& what) { Say(e, path, what); };
-  std::set<std::string> of_peers, named, zones;
-  for (std::size_t i = 0; i < Tables(e.merged, "operator.peers"); ++i)
-    of_peers.insert(TextAt(e.merged, "operator.peers[].site", i, "main"));
-  for (std::size_t i = 0; i < Tables(e.merged, "settings.zones"); ++i)
-    zones.insert(TextAt(e.merged, "settings.zones[]", i, ""));
-  for (std::size_t i = 0; i < Tables(e.merged, "operator.sites"); ++i) {
-    const std::string name = TextAt(e.merged, "operator.sites[].name", i, "");
-    const std::string zone = TextAt(e.merged, "operator.sites[].zone", i, "");
-    if (!named.insert(name).second)
-      say(fmt::format("sites[{}].name", i), fmt::format("\"{}\" is named twice", name));
-    if (!of_peers.contains(name)) {
-      say(fmt::format("sites[{}].name", i),
-          fmt::format("\"{}\"; expected the site of one of [[peers]]", name));
+void CheckSites(config::Effective& effective) {
+  const auto add_fault = [&](const std::string& path, const std::string& what) {
+    AddFault(effective, path, what);
+  };
+  std::set<std::string> peer_sites, site_names, zones;
+  for (std::size_t i = 0; i < TableCount(effective.merged, "operator.peers"); ++i)
+    peer_sites.insert(TextAt(effective.merged, "operator.peers[].site", i, "main"));
+  for (std::size_t i = 0; i < TableCount(effective.merged, "settings.zones"); ++i)
+    zones.insert(TextAt(effective.merged, "settings.zones[]", i, ""));
+  for (std::size_t i = 0; i < TableCount(effective.merged, "operator.sites"); ++i) {
+    const std::string name = TextAt(effective.merged, "operator.sites[].name", i, "");
+    const std::string zone = TextAt(effective.merged, "operator.sites[].zone", i, "");
+    if (!site_names.insert(name).second)
+      add_fault(fmt::format("sites[{}].name", i), fmt::format("\"{}\" is named twice", name));
+    if (!peer_sites.contains(name)) {
+      add_fault(fmt::format("sites[{}].name", i),
+                fmt::format("\"{}\"; expected the site of one of [[peers]]", name));
     }
     if (!zones.contains(zone)) {
-      say(fmt::format("sites[{}].zone", i),
-          fmt::format("\"{}\"; expected the name of one of [[zones]]", zone));
+      add_fault(fmt::format("sites[{}].zone", i),
+                fmt::format("\"{}\"; expected the name of one of [[zones]]", zone));
     }
   }
 }
 
 }  // namespace
 
-void CheckFleet(config::Effective& e) {
-  const json& whole = e.merged;
-  const auto say = [&](const std::string& path, const std::string& what) { Say(e, path, what); };
+void CheckFleet(config::Effective& effective) {
+  const json& whole = effective.merged;
+  const auto add_fault = [&](const std::string& path, const std::string& what) {
+    AddFault(effective, path, what);
+  };
   std::set<std::string> names, addresses;
-  bool any_votes = false;
-  const std::string own = TextAt(whole, "name", 0, "");
-  for (std::size_t i = 0; i < Tables(whole, "operator.peers"); ++i) {
+  bool any_voter = false;
+  const std::string own_name = TextAt(whole, "name", 0, "");
+  for (std::size_t i = 0; i < TableCount(whole, "operator.peers"); ++i) {
     const std::string name = TextAt(whole, "operator.peers[].name", i, "");
     const std::string address = TextAt(whole, "operator.peers[].address", i, "");
-    const auto at = [&](const char* what) { return fmt::format("peers[{}].{}", i, what); };
-    any_votes |= Votes(whole, i);
+    const auto path_of = [&](const char* field) { return fmt::format("peers[{}].{}", i, field); };
+    any_voter |= IsVoter(whole, i);
     if (!name.empty() && !names.insert(name).second)
-      say(at("name"), fmt::format("\"{}\" is named twice", name));
-    if (!IsAddress(address)) {
-      say(at("address"), fmt::format("\"{}\"; expected \"ip:port\" with a port over 0", address));
+      add_fault(path_of("name"), fmt::format("\"{}\" is named twice", name));
+    if (!IsAddressWithPort(address)) {
+      add_fault(path_of("address"), fmt::format("\"{}\"; expected \"ip:port\" with a port over 0", address));
     } else if (!addresses.insert(address).second) {
-      say(at("address"), fmt::format("\"{}\" is another peer's as well", address));
+      add_fault(path_of("address"), fmt::format("\"{}\" is another peer's as well", address));
     }
   }
   const std::string listen = TextAt(whole, "operator.fleet.listen", 0, "");
   if (listen.empty()) return;
-  if (!IsAddress(listen))
-    say("fleet.listen", fmt::format("\"{}\"; expected \"ip:port\" with a port over 0", listen));
-  if (!names.contains(own))
-    say("fleet.listen", fmt::format("is given, but no [[peers]] has this node's name, \"{}\"", own));
-  if (!any_votes) say("fleet.listen", "is given, but no [[peers]] votes: no lease could ever be given");
-  CheckSites(e);
-  const auto number = [&](const char* told) { return NumberAt(whole, told); };
+  if (!IsAddressWithPort(listen))
+    add_fault("fleet.listen", fmt::format("\"{}\"; expected \"ip:port\" with a port over 0", listen));
+  if (!names.contains(own_name)) {
+    add_fault("fleet.listen",
+              fmt::format("is given, but no [[peers]] has this node's name, \"{}\"", own_name));
+  }
+  if (!any_voter) add_fault("fleet.listen", "is given, but no [[peers]] votes: no lease could ever be given");
+  CheckSites(effective);
+  const auto number = [&](const char* path) { return NumberAt(whole, path); };
   const double timeout = number("operator.fleet.probe_timeout");
-  if (timeout >= number("operator.fleet.probe_every"))
-    say("fleet.probe_timeout", "is no shorter than fleet.probe_every: others could not be asked in time");
-  if (number("operator.fleet.lease") < kLeastLeaseTimeouts * timeout) {
-    say("fleet.lease",
-        fmt::format("is shorter than {} x fleet.probe_timeout: no lease could be renewed in time",
-                    kLeastLeaseTimeouts));
+  if (timeout >= number("operator.fleet.probe_every")) {
+    add_fault("fleet.probe_timeout",
+              "is no shorter than fleet.probe_every: others could not be asked in time");
+  }
+  if (number("operator.fleet.lease") < kMinLeaseTimeouts * timeout) {
+    add_fault("fleet.lease",
+              fmt::format("is shorter than {} x fleet.probe_timeout: no lease could be renewed in time",
+                          kMinLeaseTimeouts));
   }
 }
 
 void ReadFleet(const json& whole, FleetConfig& fleet) {
-  const auto number = [&](const char* told) { return NumberAt(whole, told); };
-  const auto time = [&](const char* told) { return TimeAt(whole, told); };
+  const auto number = [&](const char* path) { return NumberAt(whole, path); };
+  const auto duration = [&](const char* path) { return DurationAt(whole, path); };
   fleet.listen = TextAt(whole, "operator.fleet.listen", 0, "");
-  fleet.pace.probe_every = time("operator.fleet.probe_every");
-  fleet.pace.probe_timeout = time("operator.fleet.probe_timeout");
-  fleet.pace.exchange_every = time("operator.fleet.exchange_every");
-  fleet.pace.lease = time("operator.fleet.lease");
-  fleet.pace.drift = number("operator.fleet.clock_drift");
+  fleet.timing.probe_every = duration("operator.fleet.probe_every");
+  fleet.timing.probe_timeout = duration("operator.fleet.probe_timeout");
+  fleet.timing.exchange_every = duration("operator.fleet.exchange_every");
+  fleet.timing.lease = duration("operator.fleet.lease");
+  fleet.timing.drift = number("operator.fleet.clock_drift");
   fleet.count_senders = config::At(whole, "operator.fleet.count_senders", 0)->get<bool>();
   fleet.sites.accusing_share = number("operator.fleet.site_agree");
-  fleet.sites.return_hold = time("operator.fleet.site_hold");
-  fleet.sites.max_return_hold = std::max(fleet.sites.return_hold, time("operator.fleet.site_hold_most"));
-  for (std::size_t i = 0; i < Tables(whole, "operator.sites"); ++i) {
-    fleet.zones[TextAt(whole, "operator.sites[].name", i, "")] =
+  fleet.sites.return_hold = duration("operator.fleet.site_hold");
+  fleet.sites.max_return_hold = std::max(fleet.sites.return_hold, duration("operator.fleet.site_hold_most"));
+  for (std::size_t i = 0; i < TableCount(whole, "operator.sites"); ++i) {
+    fleet.zone_by_site[TextAt(whole, "operator.sites[].name", i, "")] =
         TextAt(whole, "operator.sites[].zone", i, "");
   }
-  for (std::size_t i = 0; i < Tables(whole, "operator.peers"); ++i) {
+  for (std::size_t i = 0; i < TableCount(whole, "operator.peers"); ++i) {
     fleet.peers.push_back({TextAt(whole, "operator.peers[].name", i, ""),
                            TextAt(whole, "operator.peers[].site", i, "main"),
-                           TextAt(whole, "operator.peers[].address", i, ""), Votes(whole, i)});
+                           TextAt(whole, "operator.peers[].address", i, ""), IsVoter(whole, i)});
   }
 }
 
--- a/src/node/config_operators.cpp
+++ b/src/node/config_operators.cpp
@@ -1,4 +1,4 @@
-// The operator's own part of the configuration.
+// The operator's own part of the configuration, which only the operator's file can give.
 #include <fmt/format.h>
 
 #include <cmath>
@@ -12,22 +12,23 @@
 
 using nlohmann::json;
 
-void Say(config::Effective& e, const std::string& path, const std::string& what) {
-  const auto it = e.operators.places.find(path);
-  e.faults.push_back(
-      {e.operators_name, it == e.operators.places.end() ? config::Place{} : it->second, path, what});
+void AddFault(config::Effective& effective, const std::string& path, const std::string& what) {
+  const auto it = effective.operators.places.find(path);
+  effective.faults.push_back({effective.operators_name,
+                              it == effective.operators.places.end() ? config::Place{} : it->second, path,
+                              what});
 }
 
-double NumberAt(const json& whole, const char* told) { return config::At(whole, told, 0)->get<double>(); }
+double NumberAt(const json& whole, const char* path) { return config::At(whole, path, 0)->get<double>(); }
 
-Micros TimeAt(const json& whole, const char* told) {
-  return Micros(std::llround(NumberAt(whole, told) * 1000));
+Micros DurationAt(const json& whole, const char* path) {
+  return Micros(std::llround(NumberAt(whole, path) * 1000));
 }
 
-void ReadOperators(const json& whole, Config& config) {
-  const auto text = [&](const char* at) { return config::At(whole, at, 0)->get<std::string>(); };
-  const auto number = [&](const char* at) { return NumberAt(whole, at); };
-  const auto time = [&](const char* at) { return TimeAt(whole, at); };
+void ReadOperatorSettings(const json& whole, Config& config) {
+  const auto text = [&](const char* path) { return config::At(whole, path, 0)->get<std::string>(); };
+  const auto number = [&](const char* path) { return NumberAt(whole, path); };
+  const auto duration = [&](const char* path) { return DurationAt(whole, path); };
   config.has_operators_file = true;
   config.client_connections = static_cast<std::size_t>(number("operator.limits.client_connections"));
   config.client_memory_share = number("operator.limits.client_memory_share");
@@ -39,34 +40,34 @@
   config.log.lines_per_second = static_cast<int>(number("operator.log.lines_per_second"));
   if (config::At(whole, "operator.control.socket", 0) != nullptr)
     config.control_socket = text("operator.control.socket");
-  config.change.trial = time("operator.change.trial");
-  config.change.before = time("operator.change.before");
-  config.change.false_alarms = number("operator.change.false_alarms");
+  config.guard_rules.trial = duration("operator.change.trial");
+  config.guard_rules.before = duration("operator.change.before");
+  config.guard_rules.false_alarms = number("operator.change.false_alarms");
   ReadFleet(whole, config.fleet);
 }
 
-void CheckWhole(config::Effective& e) {
-  const auto say = [&](const char* path, const std::string& what) { Say(e, path, what); };
+void CheckOperatorSettings(config::Effective& effective) {
+  const auto add_fault = [&](const char* path, const std::string& what) { AddFault(effective, path, what); };
   for (const char* path : {"node.name", "node.listen", "node.discovery", "node.state"}) {
     const config::Item& item = *config::Find(path);
-    const json* value = config::At(e.merged, item.told, 0);
+    const json* value = config::At(effective.merged, item.told, 0);
     sockaddr_storage address{};
     if (value == nullptr) {
-      say(path, "is missing; expected " + config::Expected(item));
+      add_fault(path, "is missing; expected " + config::Expected(item));
     } else if (item.type == config::Type::kAddress &&
                (!value->is_string() || !net::ParseAddress(value->get<std::string>(), address))) {
-      say(path, value->dump() + "; expected " + config::Expected(item));
+      add_fault(path, value->dump() + "; expected " + config::Expected(item));
     }
   }
-  const json* classes = config::At(e.merged, "settings.classes", 0);
+  const json* classes = config::At(effective.merged, "settings.classes", 0);
   if (classes == nullptr || !classes->is_array() || classes->empty())
-    say("classes", "expected at least one [[classes]]");
-  const json* seed = config::At(e.merged, "seed", 0);
+    add_fault("classes", "expected at least one [[classes]]");
+  const json* seed = config::At(effective.merged, "seed", 0);
   if (seed == nullptr) {
-    e.merged["seed"] = fmt::format("{:x}{:08x}", std::random_device()(), std::random_device()());
+    effective.merged["seed"] = fmt::format("{:x}{:08x}", std::random_device()(), std::random_device()());
   } else if (!seed->is_string() ||
              seed->get<std::string>().find_first_not_of("0123456789abcdefABCDEF") != std::string::npos) {
-    say("node.seed", seed->dump() + "; expected at most 16 hex digits in quotes");
+    add_fault("node.seed", seed->dump() + "; expected at most 16 hex digits in quotes");
   }
 }
 
--- a/src/node/config_platform.cpp
+++ b/src/node/config_platform.cpp
@@ -1,4 +1,4 @@
-// The platform's form of the configuration: settings, limits, watched settings.
+// Reads a configuration in the platform's form: addresses, limits and the settings for shadow evaluation.
 #include <fmt/format.h>
 
 #include <charconv>
@@ -14,14 +14,16 @@
 
 using nlohmann::json;
 
-constexpr double kMegabyte = 1e6;
+constexpr double kBytesPerMegabyte = 1e6;
 
+// A member of an object; null if it is absent.
 const json& At(const json& object, const char* name) {
   static const json absent;
   const auto it = object.find(name);
   return it == object.end() ? absent : *it;
 }
 
+// A text, or an empty one if it is absent.
 std::string Text(const json& object, const char* name) {
   const json& value = At(object, name);
   if (value.is_null()) return {};
@@ -29,16 +31,17 @@
   return value.get<std::string>();
 }
 
-double Number(const json& object, const char* name, double most) {
-  const json& value = At(object, name);
-  if (!value.is_number() || !(value.get<double>() > 0) || value.get<double>() > most) {
-    throw ConfigError(fmt::format("limits.{}: expected a number over 0, at most {}", name, most));
+// One of the limits: a number over 0.
+double LimitAt(const json& limits, const char* name, double max) {
+  const json& value = At(limits, name);
+  if (!value.is_number() || !(value.get<double>() > 0) || value.get<double>() > max) {
+    throw ConfigError(fmt::format("limits.{}: expected a number over 0, at most {}", name, max));
   }
   return value.get<double>();
 }
 
-// Numbers of the names in a list of names, or of objects with names.
-std::map<std::string, int> Names(const json& list) {
+// Indices of the names in a list of names or of objects with names.
+std::map<std::string, int> IndicesByName(const json& list) {
   std::map<std::string, int> names;
   if (!list.is_array()) return names;
   for (std::size_t i = 0; i < list.size(); ++i) {
@@ -58,43 +61,44 @@
   if (!net::ParseAddress(text, address)) throw ConfigError(fmt::format("{}: expected ip:port", what));
 }
 
-// Both forms give it; the schema has checked the operator's file, so this says what is wrong in the other.
-void ReadWatched(const json& whole, Watched& watched) {
+// Both the operator's file and the platform's document can give these settings. The schema has checked the
+// operator's file, so the faults found here are those of the platform's document.
+void ReadShadowSettings(const json& whole, ShadowSettings& shadow) {
   const json& watch = At(whole, "watch");
   if (watch.is_null()) return;
   if (!watch.is_object()) throw ConfigError("watch: expected an object");
   std::string faults;
-  const auto fault = [&](const std::string& name, const std::string& expected) {
+  const auto add_fault = [&](const std::string& name, const std::string& expected) {
     faults += fmt::format("{}watch.{}: expected {}", faults.empty() ? "" : "\n", name, expected);
   };
   for (const auto& [name, value] : watch.items()) {
     const config::Item* item = config::Find("watch." + name);
-    const bool number = value.is_number() && item != nullptr && value.get<double>() >= item->least &&
-                        value.get<double>() <= item->most;
+    const bool number_in_range = value.is_number() && item != nullptr && value.get<double>() >= item->least &&
+                                 value.get<double>() <= item->most;
     if (item == nullptr) {
-      fault(name, "no such name");
+      add_fault(name, "no such name");
     } else if (item->type == config::Type::kFlag) {
-      if (!value.is_boolean()) fault(name, config::Expected(*item));
-      if (value.is_boolean() && name == "on") watched.on = value.get<bool>();
-      if (value.is_boolean() && name == "retry_advice") watched.retry_advice = value.get<bool>();
+      if (!value.is_boolean()) add_fault(name, config::Expected(*item));
+      if (value.is_boolean() && name == "on") shadow.on = value.get<bool>();
+      if (value.is_boolean() && name == "retry_advice") shadow.retry_advice = value.get<bool>();
     } else if (item->type == config::Type::kWord) {
       const std::map<std::string, Weights> words = {
           {"off", Weights::kNone}, {"nominal", Weights::kNominal}, {"rough", Weights::kRough}};
       const auto word = value.is_string() ? words.find(value.get<std::string>()) : words.end();
-      word == words.end() ? fault(name, "\"off\" or \"nominal\" or \"rough\"")
-                          : void(watched.weights = word->second);
-    } else if (!number || (item->type == config::Type::kInteger && !value.is_number_integer())) {
-      fault(name, config::Expected(*item));
+      word == words.end() ? add_fault(name, "\"off\" or \"nominal\" or \"rough\"")
+                          : void(shadow.weights = word->second);
+    } else if (!number_in_range || (item->type == config::Type::kInteger && !value.is_number_integer())) {
+      add_fault(name, config::Expected(*item));
     } else if (name == "connection_price") {
-      watched.price_handshake = value.get<double>();
+      shadow.price_handshake = value.get<double>();
     } else if (name == "overload_factor") {
-      watched.overload_factor = value.get<double>();
+      shadow.overload_factor = value.get<double>();
     } else if (name == "senders") {
-      watched.senders = value.get<int>();
+      shadow.senders = value.get<int>();
     } else if (name == "max_attempts") {
-      watched.max_attempts = value.get<int>();
+      shadow.max_attempts = value.get<int>();
     } else if (name == "fall") {
-      watched.fall = Micros(std::llround(value.get<double>() * 1000));
+      shadow.fall = Micros(std::llround(value.get<double>() * 1000));
     }
   }
   if (!faults.empty()) throw ConfigError(faults);
@@ -102,38 +106,38 @@
 
 }  // namespace
 
-Config FromMerged(const json& whole) {
+Config ConfigFromMerged(const json& whole) {
   Config config;
   config.name = Required(Text(whole, "name"), "name");
   config.listen = Required(Text(whole, "listen"), "listen");
   config.discovery = Required(Text(whole, "discovery"), "discovery");
   config.state_folder = Required(Text(whole, "state"), "EDGE_STATE");
-  config.control = Text(whole, "control");
+  config.admin_address = Text(whole, "control");
   CheckAddress(config.listen, "listen");
   CheckAddress(config.discovery, "discovery");
-  if (!config.control.empty()) CheckAddress(config.control, "control");
+  if (!config.admin_address.empty()) CheckAddress(config.admin_address, "control");
 
   const json& limits = At(whole, "limits");
   if (!limits.is_object()) throw ConfigError("limits: expected an object");
-  config.memory_bytes = static_cast<std::size_t>(Number(limits, "memory_mb", 1e7) * kMegabyte);
-  config.sockets = static_cast<std::size_t>(Number(limits, "sockets", 1e7));
-  config.disk_bytes = static_cast<std::size_t>(Number(limits, "disk_mb", 1e7) * kMegabyte);
+  config.memory_bytes = static_cast<std::size_t>(LimitAt(limits, "memory_mb", 1e7) * kBytesPerMegabyte);
+  config.sockets = static_cast<std::size_t>(LimitAt(limits, "sockets", 1e7));
+  config.disk_bytes = static_cast<std::size_t>(LimitAt(limits, "disk_mb", 1e7) * kBytesPerMegabyte);
 
-  if (const json& known = At(whole, "known"); known.is_object()) config.known = known.dump();
+  if (const json& known = At(whole, "known"); known.is_object()) config.known_list = known.dump();
 
   config.settings = ReadSettings(whole);
   config.connect_timeout = ReadConnectTimeout(whole);
-  ReadWatched(whole, config.watched);
+  ReadShadowSettings(whole, config.shadow);
   const std::string seed = Text(whole, "seed");
   const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.settings.seed, 16);
   if (error != std::errc() || end != seed.data() + seed.size()) {
     throw ConfigError("seed: expected at most 16 hex digits");
   }
   const json& settings = At(whole, "settings");
-  config.classes = Names(At(settings, "classes"));
-  config.tenants = Names(At(settings, "orgs"));
-  config.zones = Names(At(settings, "zones"));
-  config.kinds = Names(At(settings, "machineTypes"));
+  config.classes = IndicesByName(At(settings, "classes"));
+  config.tenants = IndicesByName(At(settings, "orgs"));
+  config.zones = IndicesByName(At(settings, "zones"));
+  config.kinds = IndicesByName(At(settings, "machineTypes"));
   return config;
 }
 
--- a/src/node/config_read.h
+++ b/src/node/config_read.h
@@ -1,4 +1,5 @@
-// The steps by which a merged configuration becomes a Config: shared by the files of config.h's functions.
+// The steps that turn a merged configuration (config::Effective) into a Config. Internal to the functions of
+// config.h.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,28 +9,30 @@
 
 namespace indigosaddle::node {
 
-// From the platform's form. Throws ConfigError.
-Config FromMerged(const nlohmann::json& whole);
+// Reads everything but the operator's own part. `whole` has the platform's form. Throws ConfigError.
+Config ConfigFromMerged(const nlohmann::json& whole);
 
-// The parts of it that the module and its calls go by.
+// Reads the settings of the decision engine, and the timeout for connecting to an endpoint. Both throw
+// ConfigError.
 Settings ReadSettings(const nlohmann::json& whole);
 Micros ReadConnectTimeout(const nlohmann::json& whole);
 
-// What a file of the operator's own must say, and cannot be said by a range alone, as further faults; and a
-// seed, where it has none.
-void CheckWhole(config::Effective& effective);
+// Adds a fault for everything that an operator's file must have and that the schema's types and ranges can't
+// express. Generates a seed if none is given.
+void CheckOperatorSettings(config::Effective& effective);
 
-// A fault at a path of the operator's file, with its place there.
-void Say(config::Effective& effective, const std::string& path, const std::string& what);
+// Adds a fault at this path of the operator's file, with its line and column there.
+void AddFault(config::Effective& effective, const std::string& path, const std::string& what);
 
-// A number, and a duration, that the schema has checked and given its default.
-double NumberAt(const nlohmann::json& whole, const char* told);
-Micros TimeAt(const nlohmann::json& whole, const char* told);
+// A number, and a duration that is given in milliseconds. The schema has checked the value and filled in its
+// default.
+double NumberAt(const nlohmann::json& whole, const char* path);
+Micros DurationAt(const nlohmann::json& whole, const char* path);
 
-// The operator's own part, which its file alone can give; the schema has checked it.
-void ReadOperators(const nlohmann::json& whole, Config& config);
+// Reads the operator's own part, which only the operator's file can give. The schema has checked it.
+void ReadOperatorSettings(const nlohmann::json& whole, Config& config);
 
-// The same two for what processes share.
+// The same check and the same reading for the fleet's part of the operator's file.
 void CheckFleet(config::Effective& effective);
 void ReadFleet(const nlohmann::json& whole, FleetConfig& fleet);
 
--- a/src/node/fleet_link.cpp
+++ b/src/node/fleet_link.cpp
@@ -8,13 +8,13 @@
 namespace indigosaddle::node {
 namespace {
 
-fleet::AgentOptions OptionsOf(const Config& config) {
+fleet::AgentOptions AgentOptionsOf(const Config& config) {
   fleet::AgentOptions options;
   options.name = config.name;
   options.listen = config.fleet.listen;
   options.folder = config.state_folder;
   options.roster = config.fleet.peers;
-  options.timing = config.fleet.pace;
+  options.timing = config.fleet.timing;
   options.sites = config.fleet.sites;
   options.seed = config.settings.seed;
   // For tests of clocks that run fast or slow.
@@ -25,71 +25,71 @@
 
 }  // namespace
 
-FleetLink::FleetLink(net::Loop& loop, const Config& config, base::Log& log, std::function<void()> changed)
+FleetLink::FleetLink(net::Loop& loop, const Config& config, base::Log& log, std::function<void()> on_change)
     : log_(log),
       counts_senders_(config.fleet.count_senders),
-      zones_(config.fleet.zones),
-      changed_(std::move(changed)),
+      zone_by_site_(config.fleet.zone_by_site),
+      on_change_(std::move(on_change)),
       reader_(published_),
-      wakeup_(loop, [this] { Heard(); }),
-      agent_(OptionsOf(config), published_, [this] { wakeup_.Ask(); }) {}
+      wakeup_(loop, [this] { OnWakeup(); }),
+      agent_(AgentOptionsOf(config), published_, [this] { wakeup_.Ask(); }) {}
 
-std::size_t FleetLink::Senders(std::size_t by_file) const {
-  if (!counts_senders_) return by_file;
-  const fleet::PublishedSnapshot::Reader::ReadSection look(reader_);
-  return fleet::SendersToUse(look.get(), by_file);
+std::size_t FleetLink::Senders(std::size_t configured) const {
+  if (!counts_senders_) return configured;
+  const fleet::PublishedSnapshot::Reader::ReadSection snapshot(reader_);
+  return fleet::SendersToUse(snapshot.get(), configured);
 }
 
 std::vector<std::string> FleetLink::NewlyLostZones() {
-  const fleet::PublishedSnapshot::Reader::ReadSection look(reader_);
+  const fleet::PublishedSnapshot::Reader::ReadSection snapshot(reader_);
   std::vector<std::string> lost;
-  for (const auto& [site, word] : look.get().sites) {
-    const auto zone = zones_.find(site);
-    // A further loss that came and went between two looks shows in their number.
-    const bool new_loss = word.losses > sites_[site].losses;
-    if (zone != zones_.end() && new_loss) lost.push_back(zone->second);
+  for (const auto& [site, status] : snapshot.get().sites) {
+    const auto zone = zone_by_site_.find(site);
+    // The number of losses also shows a loss that began and ended between two calls.
+    const bool new_loss = status.losses > last_sites_[site].losses;
+    if (zone != zone_by_site_.end() && new_loss) lost.push_back(zone->second);
   }
-  sites_ = look.get().sites;
+  last_sites_ = snapshot.get().sites;
   return lost;
 }
 
-void FleetLink::Heard() {
-  for (const fleet::FleetEvent& note : agent_.TakeEvents()) {
-    switch (note.kind) {
+void FleetLink::OnWakeup() {
+  for (const fleet::FleetEvent& event : agent_.TakeEvents()) {
+    switch (event.kind) {
       case fleet::FleetEvent::Kind::kMember:
-        log_.Write(base::kFleetMember, note.subject, note.state, note.value);
+        log_.Write(base::kFleetMember, event.subject, event.state, event.value);
         break;
       case fleet::FleetEvent::Kind::kConnectivity:
-        log_.Write(base::kFleetStanding, note.subject, note.value);
+        log_.Write(base::kFleetStanding, event.subject, event.value);
         break;
       case fleet::FleetEvent::Kind::kLease:
-        log_.Write(base::kFleetLease, note.subject, note.state, note.value);
+        log_.Write(base::kFleetLease, event.subject, event.state, event.value);
         break;
       case fleet::FleetEvent::Kind::kSite:
-        log_.Write(base::kFleetSite, note.subject, note.state, note.value);
+        log_.Write(base::kFleetSite, event.subject, event.state, event.value);
         break;
-      case fleet::FleetEvent::Kind::kTrouble: log_.Write(base::kFleetTrouble, note.subject); break;
+      case fleet::FleetEvent::Kind::kTrouble: log_.Write(base::kFleetTrouble, event.subject); break;
     }
   }
-  changed_();
+  on_change_();
 }
 
 nlohmann::json FleetLink::Json() const {
   using nlohmann::json;
-  const fleet::PublishedSnapshot::Reader::ReadSection look(reader_);
-  const fleet::Snapshot& now = look.get();
+  const fleet::PublishedSnapshot::Reader::ReadSection snapshot(reader_);
+  const fleet::Snapshot& now = snapshot.get();
   json members = json::object(), leases = json::object(), facts = json::object(), sites = json::object();
-  for (const auto& [site, word] : now.sites)
-    sites[site] = {{"state", fleet::NameOf(word.state)}, {"losses", word.losses}};
+  for (const auto& [site, status] : now.sites)
+    sites[site] = {{"state", fleet::NameOf(status.state)}, {"losses", status.losses}};
   for (const fleet::MemberView& member : now.members) {
     members[member.name] = {{"site", member.site},
                             {"state", member.known ? fleet::NameOf(member.liveness) : "unknown"},
                             {"start", member.start}};
   }
-  const Micros clock = agent_.clock().Now();
+  const Micros steady_now = agent_.clock().Now();
   for (const auto& [resource, lease] : now.leases) {
-    if (clock < lease.until)
-      leases[resource] = {{"epoch", lease.epoch}, {"left_ms", (lease.until - clock).count() / 1000}};
+    if (steady_now < lease.until)
+      leases[resource] = {{"epoch", lease.epoch}, {"left_ms", (lease.until - steady_now).count() / 1000}};
   }
   for (const auto& [key, fact] : now.facts) {
     facts[key] = {
--- a/src/node/fleet_link.h
+++ b/src/node/fleet_link.h
@@ -1,5 +1,5 @@
-// The node's side of what processes share: starts the fleet's thread, says in the log what it tells, and
-// answers from its latest snapshot. Made only where the operator's file asks for it.
+// Connects the node with the fleet: starts the fleet's thread, logs its events, and answers from its latest
+// snapshot. Made only if the operator's file configures a fleet.
 #pragma once
 
 #include <cstddef>
@@ -18,33 +18,40 @@
 
 namespace indigosaddle::node {
 
+// Used on the node's loop only. The loop and the log must outlive it.
 class FleetLink {
  public:
-  // `changed` is called on the loop when a snapshot has come.
-  FleetLink(net::Loop& loop, const Config& config, base::Log& log, std::function<void()> changed);
+  // `on_change` is called on the loop after a snapshot was published or events were added.
+  FleetLink(net::Loop& loop, const Config& config, base::Log& log, std::function<void()> on_change);
 
-  std::string Start() { return agent_.Start(); }  // why it can't; empty: it runs
+  // Starts the fleet's thread. Returns the reason for a failure; empty on success.
+  std::string Start() { return agent_.Start(); }
 
-  // The senders that share limits, where the file says `by_file`.
-  std::size_t Senders(std::size_t by_file) const;
-  // Zones whose site has become lost since the last call: their endpoints may come back cold.
+  // Number of senders that share the limits. `configured` is the number in the configuration; it is returned
+  // as it is if the fleet does not count the senders.
+  std::size_t Senders(std::size_t configured) const;
+  // Zones whose site was lost since the last call: their endpoints may come back cold.
   std::vector<std::string> NewlyLostZones();
-  // What this node sees for itself: whether discovery's watch stands, whether clients are connected.
-  void Tell(bool list, bool clients) { agent_.SetLocalConditions(list, clients); }
+  // Passes on what this node observes itself: whether its watch on discovery stands, and whether clients are
+  // connected.
+  void SetLocalConditions(bool list, bool clients) { agent_.SetLocalConditions(list, clients); }
+  // The "fleet" part of the node's status.
   nlohmann::json Json() const;
 
  private:
-  void Heard();
+  // Logs the agent's events and calls on_change_.
+  void OnWakeup();
 
   base::Log& log_;
   const bool counts_senders_;
-  const std::map<std::string, std::string> zones_;  // by site
-  std::map<std::string, fleet::SiteStatus> sites_;  // as last looked at
-  const std::function<void()> changed_;
+  const std::map<std::string, std::string> zone_by_site_;
+  std::map<std::string, fleet::SiteStatus> last_sites_;  // as of the last call of NewlyLostZones
+  const std::function<void()> on_change_;
   fleet::PublishedSnapshot published_;
   fleet::PublishedSnapshot::Reader reader_;
   net::Wakeup wakeup_;
-  fleet::Agent agent_;  // its thread ends before what it tells goes
+  // Last, so that its thread ends before the members that it uses are destroyed.
+  fleet::Agent agent_;
 };
 
 }  // namespace indigosaddle::node
--- a/src/node/last_good_file.cpp
+++ b/src/node/last_good_file.cpp
@@ -9,21 +9,22 @@
 namespace indigosaddle::node {
 namespace {
 
-constexpr std::size_t kMostBytes = std::size_t{4} * 1024 * 1024;  // of a file that can't be ours
+// A longer file can't be one that this program wrote.
+constexpr std::size_t kMaxFileBytes = std::size_t{4} * 1024 * 1024;
 
 }  // namespace
 
-void LastGoodFile::Keep(const std::string& text, std::size_t most) {
-  if (text == seen_) return;
-  nlohmann::json whole = nlohmann::json::parse(text, nullptr, false);
-  if (!whole.is_object()) return;
-  whole.erase("known");
-  const std::string shorter = whole.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-  if (shorter.size() > most || base::ReplaceFile(path_, shorter)) seen_ = text;
+void LastGoodFile::Save(const std::string& text, std::size_t max_bytes) {
+  if (text == handled_text_) return;
+  nlohmann::json document = nlohmann::json::parse(text, nullptr, false);
+  if (!document.is_object()) return;
+  document.erase("known");
+  const std::string without_list = document.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+  if (without_list.size() > max_bytes || base::ReplaceFile(path_, without_list)) handled_text_ = text;
 }
 
 std::optional<std::string> LastGoodFile::Load() const {
-  base::FileText file = base::ReadFile(path_, kMostBytes);
+  base::FileText file = base::ReadFile(path_, kMaxFileBytes);
   if (!file.trouble.empty()) return std::nullopt;
   return std::move(file.text);
 }
--- a/src/node/last_good_file.h
+++ b/src/node/last_good_file.h
@@ -1,6 +1,6 @@
-// The platform's configuration as it was last taken, kept in the state folder. A start that finds the
-// platform's file missing, half written or wrong serves by this one, as a running process goes on by what it
-// had.
+// Keeps the platform's configuration that was last accepted in the state folder. A process that starts and
+// finds the platform's file missing, half written or wrong uses this copy, just as a running process goes on
+// with the configuration that it has.
 #pragma once
 
 #include <cstddef>
@@ -13,14 +13,16 @@
  public:
   explicit LastGoodFile(const std::string& folder) : path_(folder + "/platform.json") {}
 
-  // Keeps `text`, but for the list of endpoints in it, which ages and may be long. Tried again by the next
-  // call where the folder takes no writes; left out where it is longer than `most`.
-  void Keep(const std::string& text, std::size_t most);
-  std::optional<std::string> Load() const;  // nothing: none is kept, or it can't be read
+  // Saves `text` without its list of endpoints, which goes out of date and may be long. Does nothing if the
+  // text was handled before. A write that fails is tried again by the next call; a document of more than
+  // `max_bytes` is not saved.
+  void Save(const std::string& text, std::size_t max_bytes);
+  // Returns the saved document, or nothing if there is none or it can't be read.
+  std::optional<std::string> Load() const;
 
  private:
   const std::string path_;
-  std::string seen_;  // the text that the file holds, or that is too long for it
+  std::string handled_text_;  // the last text that was saved, or was too long to be saved
 };
 
 }  // namespace indigosaddle::node
--- a/src/node/message_rules.h
+++ b/src/node/message_rules.h
@@ -1,6 +1,6 @@
-// The rules that messages are born under (brain/repeat_rules.h), kept in the folder's file `rules`: what was
-// in force before a process began binds what is handed in to it. A successor reads the file of the process
-// that it replaces, and writes it once it owns the folder.
+// Keeps the history of the rules for repeats and order (brain/repeat_rules.h) in the file `rules` of the
+// state folder: rules that were in force before a process started apply to older messages that are enqueued
+// at it. A successor reads the file of its predecessor, and writes it once it owns the folder.
 #pragma once
 
 #include <string>
@@ -14,22 +14,28 @@
  public:
   explicit MessageRules(const std::string& folder) : path_(folder + "/rules") {}
 
-  // `folder_used`: an earlier process served from it, so that a history that is missing is not known.
+  // Reads the file and puts the rules of `config` in force. `folder_used`: an earlier process served from
+  // this folder, so a missing file means that the prior rules are unknown.
   void Start(const Config& config, Micros now, bool folder_used);
-  void Change(const Config& config, Micros now);  // in force from now on
-  // What the process before this one changed meanwhile; its file not readable: it may have changed anything.
+  // Puts the rules of `config` in force from now on.
+  void Change(const Config& config, Micros now);
+  // Adds the changes that the predecessor made since Start. If its file can't be read, it may have changed
+  // any rule, and the strictest rules apply to messages that may be older than `now`.
   void TakeOver(Micros now);
-  bool Save();  // where it failed it may be called again; true where there is nothing to save
+  // Writes the history if it has changed since the last write. Returns false on failure; the next call tries
+  // again.
+  bool Save();
 
-  ApplicableRules RulesFor(const std::string& message_class, const EnqueueFacts& hand_in) const {
-    return history_.RulesFor(message_class, hand_in);
+  // The rules for an enqueued message of this class.
+  ApplicableRules RulesFor(const std::string& message_class, const EnqueueFacts& enqueue) const {
+    return history_.RulesFor(message_class, enqueue);
   }
-  // Nothing was missing or damaged at the start, or at the take-over since.
+  // Whether the file was neither missing nor damaged when it was last read: by Start, or by TakeOver since.
   bool known() const { return known_; }
 
  private:
-  enum class Found { kNothing, kHistory, kDamage };
-  Found Load(RuleHistory::Spans& spans) const;
+  enum class LoadResult { kNoFile, kHistory, kDamaged };
+  LoadResult Load(RuleHistory::Spans& spans) const;
 
   const std::string path_;
   RuleHistory history_;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -9,7 +9,7 @@
 #include "base/descriptor.h"
 #include "base/log_events.h"
 #include "base/version.h"
-#include "node/shares.h"
+#include "node/resource_shares.h"
 
 namespace indigosaddle::node {
 namespace {
@@ -33,11 +33,12 @@
           [this](Phase phase, Action action) { OnLifecycleBreak(phase, action); }),
       journal_(config_.state_folder),
       rules_(config_.state_folder),
-      state_(LimitsOf(config_)),
+      state_(ReducerLimits(config_)),
       brain_(MakeBrain(config_.settings, *this)),
-      watcher_(config_.watched.on ? std::make_unique<Watcher>(config_.watched, config_.settings) : nullptr),
+      watcher_(config_.shadow.on ? std::make_unique<ShadowEvaluation>(config_.shadow, config_.settings)
+                                 : nullptr),
       pool_(
-          loop, {config_.connect_timeout, config_.settings.idle_close, CallsPart(config_)},
+          loop, {config_.connect_timeout, config_.settings.idle_close, MaxCallConnections(config_)},
           [this](std::uint64_t serial) { return MayBegin(serial); },
           [this](const net::CallResult& result) { OnCallEnded(result); }),
       server_(loop, *this, ServerLimits(config_)),
@@ -89,8 +90,8 @@
   SaveRules();
   LookForOthers();
   std::optional<std::uint64_t> held;
-  if (!config_.known.empty()) {
-    if (auto news = net::ParseMembers(config_.known)) {
+  if (!config_.known_list.empty()) {
+    if (auto news = net::ParseMembers(config_.known_list)) {
       news->whole = true;
       if (news->skipped.empty()) held = news->version;
       OnMembers(std::move(*news));
@@ -104,9 +105,9 @@
     log_.Write(base::kListenFailed, config_.listen, uv_strerror(error));
     return false;
   }
-  if (!config_.control.empty()) {
-    if (const int error = admin_->Listen(config_.control); error != 0) {
-      log_.Write(base::kListenFailed, config_.control, uv_strerror(error));
+  if (!config_.admin_address.empty()) {
+    if (const int error = admin_->Listen(config_.admin_address); error != 0) {
+      log_.Write(base::kListenFailed, config_.admin_address, uv_strerror(error));
       return false;
     }
   }
@@ -122,8 +123,8 @@
     reason.empty() ? log_.Write(base::kControlOpen, path) : log_.Write(base::kControlFailed, path, reason);
   }
   lifecycle_.Serve(loop_.Now());
-  log_.Write(base::kServing, server_.address(), base::kVersion, ClientsPart(config_), CallsPart(config_),
-             config_.disk_bytes);
+  log_.Write(base::kServing, server_.address(), base::kVersion, MaxClientConnections(config_),
+             MaxCallConnections(config_), config_.disk_bytes);
   return true;
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -21,14 +21,14 @@
 #include "net/loop.h"
 #include "net/notices.h"
 #include "net/resp_server.h"
-#include "node/changes.h"
 #include "node/config.h"
+#include "node/config_changes.h"
 #include "node/fleet_link.h"
 #include "node/journal_file.h"
 #include "node/message_rules.h"
 #include "node/node_clock.h"
 #include "node/repeated_event.h"
-#include "node/watch.h"
+#include "node/shadow_evaluation.h"
 #include "node/zone_numbers.h"
 #include "state/reducer.h"
 
@@ -41,7 +41,7 @@
              private net::ControlServer::Handler,
              private net::AdminServer::Handler,
              private net::CallObserver,
-             private Changes::Owner {
+             private ConfigChanges::Owner {
  public:
   Node(net::Loop& loop, Beginning beginning, base::Log& log);
   ~Node() override;
@@ -110,7 +110,7 @@
 
   // What changes of the configuration need of the node.
   const Config& running() const override { return config_; }
-  std::size_t HeldOf(const std::string& message_class, const std::string& tenant) const override;
+  std::size_t HeldMessages(const std::string& message_class, const std::string& tenant) const override;
   void Adopt(Config next) override;
 
   bool AnswersItsClient(state::Serial serial) const;
@@ -180,7 +180,7 @@
   ZoneNumbers zone_numbers_;  // of listed endpoints
   state::State state_;
   std::unique_ptr<Brain> brain_;
-  std::unique_ptr<Watcher> watcher_;  // null: nothing is watched
+  std::unique_ptr<ShadowEvaluation> watcher_;  // null: nothing is watched
   net::CallPool pool_;
   net::RespServer server_;
   std::unique_ptr<net::Discovery> discovery_;  // none once intake is over
@@ -200,7 +200,7 @@
   net::Notices notices_;
   std::optional<net::ControlServer> control_;  // none once the process ends
   std::optional<net::AdminServer> admin_;      // the same
-  Changes changes_;
+  ConfigChanges changes_;
   std::unique_ptr<FleetLink> fleet_;  // null: nothing is shared
   net::Timer turn_timer_, later_timer_, stop_timer_, report_timer_, tick_timer_;
   net::Timer claim_timer_, quiet_timer_, arrived_timer_, standby_timer_;
--- a/src/node/node_figures.cpp
+++ b/src/node/node_figures.cpp
@@ -10,7 +10,7 @@
 #include "base/version.h"
 #include "node/counts_by_name.h"
 #include "node/node.h"
-#include "node/shares.h"
+#include "node/resource_shares.h"
 
 namespace indigosaddle::node {
 namespace {
@@ -92,15 +92,17 @@
         {"given_up", given_up_}}},
       {"watch", watcher_ ? watcher_->Json() : nlohmann::json()},
       {"fleet", fleet_ ? fleet_->Json() : nlohmann::json()},
-      {"clients", {{"now", server_.connections()}, {"most", ClientsPart(config_)}}},
+      {"clients", {{"now", server_.connections()}, {"most", MaxClientConnections(config_)}}},
       {"calls",
-       {{"connections", pool_.connections()}, {"most", CallsPart(config_)}, {"opened", pool_.opened()}}},
+       {{"connections", pool_.connections()},
+        {"most", MaxCallConnections(config_)},
+        {"opened", pool_.opened()}}},
       {"connections", ConnectionStatus()},
       {"slow_start",
        {{"recovering", brain_->slow_start().recovering}, {"calls", brain_->slow_start().calls}}},
       {"journal",
        {{"bytes", state_.journal_size},
-        {"room", JournalRoom(config_, room_shared_)},
+        {"room", JournalQuotaBytes(config_, room_shared_)},
         {"writable", !journal_failed_}}},
       {"log", {{"lines", log_.written()}, {"dropped", log_.dropped()}, {"waiting_bytes", log_.waiting()}}}};
 }
@@ -114,7 +116,7 @@
   TellFleet();
   clock_.Save();
   SaveRules();
-  changes_.KeepLastGood();
+  changes_.SaveLastGood();
   log_.Tick();
   tick_timer_.Start(kTickEvery);
 }
@@ -131,7 +133,7 @@
              log_.dropped(), brain_->slow_start().recovering, brain_->slow_start().calls, WatchLosses(),
              CountsByName<net::ClientEnd>(client_ends_), unsure_rules_);
   ReportConnections();
-  if (watcher_) log_.Write(base::kWatch, watcher_->messages(), watcher_->Text());
+  if (watcher_) log_.Write(base::kWatch, watcher_->messages(), watcher_->Summary());
   report_timer_.Start(kReportEvery);
 }
 
--- a/src/node/node_fleet.cpp
+++ b/src/node/node_fleet.cpp
@@ -62,7 +62,7 @@
   if (fleet_ == nullptr) return;
   const bool list = list_lost_at_ == Micros(0) || now - list_lost_at_ < kListLost;
   const bool clients = now - std::max(clients_seen_at_, started_at_) < kClientsGone;
-  fleet_->Tell(list, clients);
+  fleet_->SetLocalConditions(list, clients);
 }
 
 }  // namespace indigosaddle::node
--- a/src/node/node_journals.cpp
+++ b/src/node/node_journals.cpp
@@ -5,7 +5,7 @@
 
 #include "base/log_events.h"
 #include "node/node.h"
-#include "node/shares.h"
+#include "node/resource_shares.h"
 
 namespace indigosaddle::node {
 namespace {
@@ -38,7 +38,7 @@
 
 bool Node::ReadJournals(JournalFile::Role role, state::Recovered& recovered) {
   std::string bytes, trouble;
-  if (!journal_.Read(MostJournal(config_), bytes, trouble)) {
+  if (!journal_.Read(MaxReadJournalBytes(config_), bytes, trouble)) {
     log_.Write(base::kFolderUnusable, config_.state_folder, trouble);
     return false;
   }
@@ -56,7 +56,8 @@
   // A successor that died before it took over left its own file, for whichever process comes next.
   std::string next;
   trouble.clear();
-  if ((!owner || journal_.absorbs_next()) && !journal_.ReadNext(MostJournal(config_), next, trouble)) {
+  if ((!owner || journal_.absorbs_next()) &&
+      !journal_.ReadNext(MaxReadJournalBytes(config_), next, trouble)) {
     log_.Write(base::kFolderUnusable, config_.state_folder, trouble);
     return false;
   }
@@ -94,7 +95,8 @@
   }
   if (journal_.Claim() != JournalFile::Role::kOwner) return;
   std::string bytes, trouble;
-  if (!journal_.Read(MostJournal(config_), bytes, trouble)) {  // left as it is, and serves on as a successor
+  if (!journal_.Read(MaxReadJournalBytes(config_), bytes,
+                     trouble)) {  // left as it is, and serves on as a successor
     log_.Write(base::kFolderUnusable, config_.state_folder, trouble);
     return claim_timer_.Start(kReadAgain);
   }
@@ -126,7 +128,7 @@
 
 void Node::ShareRoom(bool shared) {
   if (std::exchange(room_shared_, shared) != shared)
-    state_.limits.journal_bytes = JournalRoom(config_, shared);
+    state_.limits.journal_bytes = JournalQuotaBytes(config_, shared);
 }
 
 }  // namespace indigosaddle::node
--- a/src/node/node_operations.cpp
+++ b/src/node/node_operations.cpp
@@ -7,7 +7,7 @@
 
 #include "base/log_events.h"
 #include "node/node.h"
-#include "node/shares.h"
+#include "node/resource_shares.h"
 
 namespace indigosaddle::node {
 namespace {
@@ -25,7 +25,7 @@
   changes_.Reload();
 }
 
-std::size_t Node::HeldOf(const std::string& message_class, const std::string& tenant) const {
+std::size_t Node::HeldMessages(const std::string& message_class, const std::string& tenant) const {
   std::size_t held = 0;
   for (const auto& [serial, owed] : state_.pending) {
     const bool counts =
@@ -104,7 +104,7 @@
   if (request.value("op", json()) == json("status")) return answer(Status());
   if (lifecycle_.stopping() && !May(Action::kReloadConfiguration))
     return answer({{"ok", false}, {"text", "the node is stopping"}});
-  if (!changes_.Request(request, answer)) answer({{"ok", false}, {"text", "unknown op"}});
+  if (!changes_.HandleRequest(request, answer)) answer({{"ok", false}, {"text", "unknown op"}});
 }
 
 net::AdminAnswer Node::OnAdmin(std::string_view method, std::string_view path) {
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -119,7 +119,7 @@
 }
 void Node::Do(state::TellRetryAfter& e) {
   brain_->OnRetryAfter(e.endpoint, e.wait);
-  if (watcher_) watcher_->OnToldWait(e.endpoint, e.wait);
+  if (watcher_) watcher_->OnRetryAfter(e.endpoint, e.wait);
 }
 void Node::Do(state::TellStop& e) {
   brain_->OnStop(e.at);
@@ -127,7 +127,7 @@
 }
 void Node::Do(state::TellZoneLost& e) {
   brain_->OnZoneLost(e.zone);
-  if (watcher_) watcher_->OnZoneUnsure(e.zone);
+  if (watcher_) watcher_->OnZoneLost(e.zone);
 }
 void Node::Do(state::AppendJournal& e) { Write(journal_.Append(e.bytes)); }
 void Node::Do(state::RewriteJournal& e) { Write(journal_.Rewrite(e.bytes)); }
@@ -194,7 +194,7 @@
 
 // The module's decisions, as events of the turn.
 void Node::Send(MessageId id, const EndpointId& endpoint, Micros timeout) {
-  if (watcher_) watcher_->Sent(id, endpoint);
+  if (watcher_) watcher_->RecordSent(id, endpoint);
   const auto listed = state_.endpoints.find(endpoint);
   const bool connected = listed != state_.endpoints.end() &&
                          on_idle_[endpoint] < pool_.idle(endpoint, listed->second.dial, FirstCallOnly(id));
@@ -206,12 +206,12 @@
   return owed == state_.pending.end() || RequiresFreshConnection(owed->second.message.rules);
 }
 bool Node::Refuse(MessageId id, Micros not_before, GiveUpCause cause) {
-  if (watcher_) watcher_->Refused(id);
+  if (watcher_) watcher_->RecordRefused(id);
   decisions_.emplace_back(state::ReturnRequested{id, not_before, cause});
   return AnswersItsClient(id);
 }
 bool Node::Fail(MessageId id, GiveUpCause cause) {
-  if (watcher_) watcher_->Failed(id);
+  if (watcher_) watcher_->RecordFailed(id);
   decisions_.emplace_back(state::FailRequested{id, cause});
   return AnswersItsClient(id);
 }
--- a/tests/config/fleet_config_test.cpp
+++ b/tests/config/fleet_config_test.cpp
@@ -32,13 +32,13 @@
       "[[peers]]\nname = \"b\"\naddress = \"127.0.0.2:7946\"\nvotes = false\n[[sites]]\nname = \"s\"\nzone = "
       "\"z\"\n");
   EXPECT_EQ(config.fleet.listen, "127.0.0.1:7946");
-  EXPECT_EQ(config.fleet.pace.lease, std::chrono::seconds(12));
-  EXPECT_EQ(config.fleet.pace.probe_timeout, std::chrono::milliseconds(300));
+  EXPECT_EQ(config.fleet.timing.lease, std::chrono::seconds(12));
+  EXPECT_EQ(config.fleet.timing.probe_timeout, std::chrono::milliseconds(300));
   EXPECT_DOUBLE_EQ(config.fleet.sites.accusing_share, 0.8);
   ASSERT_EQ(config.fleet.peers.size(), 2u);
   EXPECT_EQ(config.fleet.peers[1].site, "main");
   EXPECT_FALSE(config.fleet.peers[1].votes);
-  EXPECT_EQ(config.fleet.zones.at("s"), "z");
+  EXPECT_EQ(config.fleet.zone_by_site.at("s"), "z");
 }
 
 TEST(FleetConfigTest, IsOffWithoutAnAddress) {
--- a/tests/config/layers_test.cpp
+++ b/tests/config/layers_test.cpp
@@ -47,7 +47,7 @@
   EXPECT_EQ(plain.settings.weights, Weights::kNone);
   EXPECT_TRUE(plain.settings.retry_advice);
   EXPECT_EQ(plain.settings.price_handshake, 0);
-  EXPECT_FALSE(plain.watched.on);
+  EXPECT_FALSE(plain.shadow.on);
   const auto edited = [](const std::string& more, const std::string& end) {
     std::string text = kGood + end;
     return text.insert(text.find("[delivery]\n") + 11, more);
@@ -60,11 +60,11 @@
                         {}});
   EXPECT_EQ(own.settings.weights, Weights::kRough);
   EXPECT_EQ(own.settings.price_handshake, 0.02);
-  EXPECT_TRUE(own.watched.on);
-  EXPECT_EQ(own.watched.weights, Weights::kNone);
-  EXPECT_EQ(own.watched.fall, std::chrono::milliseconds(1500));
-  EXPECT_EQ(own.watched.Over(own.settings).senders, 9);
-  EXPECT_EQ(own.watched.Over(own.settings).price_handshake, 0.02);  // not given: as in force
+  EXPECT_TRUE(own.shadow.on);
+  EXPECT_EQ(own.shadow.weights, Weights::kNone);
+  EXPECT_EQ(own.shadow.fall, std::chrono::milliseconds(1500));
+  EXPECT_EQ(own.shadow.AppliedTo(own.settings).senders, 9);
+  EXPECT_EQ(own.shadow.AppliedTo(own.settings).price_handshake, 0.02);  // not given: as in force
   const std::string platform =
       R"({"settings":{"weightKind":"nominal","caps":{"retryAfter":false},"prices":{"handshake":0.06}},
           "watch":{"on":true,"weights":"off","retry_advice":true,"max_attempts":6}})";
@@ -72,10 +72,11 @@
   EXPECT_EQ(told.settings.weights, Weights::kNominal);
   EXPECT_FALSE(told.settings.retry_advice);
   EXPECT_EQ(told.settings.price_handshake, 0.06);
-  EXPECT_EQ(told.watched.weights, Weights::kNone);
-  EXPECT_EQ(told.watched.max_attempts, 6);
-  EXPECT_EQ(node::Changed(plain, told).settings.weights, Weights::kNominal);  // while it runs, and back
-  EXPECT_EQ(node::Changed(told, plain).settings.weights, Weights::kNone);
+  EXPECT_EQ(told.shadow.weights, Weights::kNone);
+  EXPECT_EQ(told.shadow.max_attempts, 6);
+  EXPECT_EQ(node::WithRuntimeChanges(plain, told).settings.weights,
+            Weights::kNominal);  // while it runs, and back
+  EXPECT_EQ(node::WithRuntimeChanges(told, plain).settings.weights, Weights::kNone);
 }
 
 TEST(NewShape, WhatIsWrongIsNamedInBothForms) {
@@ -138,12 +139,12 @@
     return "[[classes]]\nname = \"" + name + "\"\naim = \"" + aim + "\"\ndeadline = \"1h\"\n";
   };
   const node::Config one = make(table("a", "1s") + table("b", "2s"));
-  const node::Config two = node::Changed(one, make(table("c", "3s") + table("b", "4s")));
+  const node::Config two = node::WithRuntimeChanges(one, make(table("c", "3s") + table("b", "4s")));
   EXPECT_EQ(two.classes, (std::map<std::string, int>{{"b", 1}, {"c", 2}}));
   EXPECT_EQ(two.settings.classes.at(0).aim,
             std::chrono::seconds(1));  // what is held of it still needs its settings
   EXPECT_EQ(two.settings.classes.at(1).aim, std::chrono::seconds(4));
-  const node::Config back = node::Changed(two, make(table("a", "5s")));
+  const node::Config back = node::WithRuntimeChanges(two, make(table("a", "5s")));
   EXPECT_EQ(back.classes.at("a"),
             3);  // a name that comes back is a new class: its old number may still be held
 }
--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -70,7 +70,7 @@
   EXPECT_EQ(config.zones.at("carmarthen-dc"), 0);
   EXPECT_EQ(config.disk_bytes, 3000000u);
   EXPECT_EQ(config.sockets, 1024u);
-  EXPECT_NE(config.known, "");
+  EXPECT_NE(config.known_list, "");
 }
 
 // A class keeps its number, and says what binds messages that are born from now on; open ones carry their own
@@ -79,13 +79,13 @@
   const Config running = ReadConfig(kConfig, kEnvironment);
   const Config next =
       ReadConfig(Edited(R"("effect":"non_idempotent")", R"("effect":"read_like")"), kEnvironment);
-  const Config changed = Changed(running, next);
+  const Config changed = WithRuntimeChanges(running, next);
   ASSERT_EQ(changed.settings.classes.size(), 2u);
   EXPECT_EQ(changed.classes, running.classes);
   EXPECT_EQ(running.settings.classes[1].effect, Effect::kUnsafe);
   EXPECT_EQ(changed.settings.classes[1].effect, Effect::kSafe);
   EXPECT_EQ(changed.settings.classes[0].effect, running.settings.classes[0].effect);
-  EXPECT_TRUE(NeedRestart(running, next).empty());
+  EXPECT_TRUE(PathsNeedingRestart(running, next).empty());
 }
 
 // Seen on the ops bench: a file at SIGHUP with attemptsCap 0 was taken, and with it a discovery address
--- a/tests/node_watch_test.cpp
+++ b/tests/node_watch_test.cpp
@@ -4,43 +4,45 @@
 
 #include <random>
 
-#include "node/watch.h"
+#include "node/shadow_evaluation.h"
 #include "stand_ins.h"
 #include "test_node.h"
 
 namespace indigosaddle::testing {
 namespace {
 
-using node::Otherwise;
-using node::Watched;
-using node::Watcher;
+using node::ShadowDifference;
+using node::ShadowEvaluation;
+using node::ShadowSettings;
 
 constexpr Micros kStart = seconds(100);
 
 // A decider with a watcher beside it, fed as the node feeds both.
 class Pair : public TestNode {
  public:
-  Pair(const Settings& settings, const Watched& watched) : TestNode(settings), watcher(watched, settings) {}
+  Pair(const Settings& settings, const ShadowSettings& watched)
+      : TestNode(settings), watcher(watched, settings) {}
 
-  void Both(Micros now, const std::function<void(Watcher&)>& events) {
+  void Both(Micros now, const std::function<void(ShadowEvaluation&)>& events) {
     now_ = now;
     watcher.OnTurnStart(now);
     const std::size_t sent_before = sends.size();
     const auto refused_before = refused;
     const auto failed_before = failed;
     Turn(now, [&] { events(watcher); });
-    for (std::size_t i = sent_before; i < sends.size(); ++i) watcher.Sent(sends[i].id, sends[i].endpoint);
+    for (std::size_t i = sent_before; i < sends.size(); ++i)
+      watcher.RecordSent(sends[i].id, sends[i].endpoint);
     for (const auto& [id, wait] : refused)
-      if (!refused_before.contains(id)) watcher.Refused(id);
+      if (!refused_before.contains(id)) watcher.RecordRefused(id);
     for (const auto& [id, at] : failed)
-      if (!failed_before.contains(id)) watcher.Failed(id);
+      if (!failed_before.contains(id)) watcher.RecordFailed(id);
     watcher.OnTurnEnd();
   }
-  void List(Watcher& w, const std::vector<Endpoint>& entries) {
+  void List(ShadowEvaluation& w, const std::vector<Endpoint>& entries) {
     TestNode::UpdateList(entries);
     w.OnList(entries, true);
   }
-  void Take(Watcher& w, MessageId id, std::uint64_t destination) {
+  void Take(ShadowEvaluation& w, MessageId id, std::uint64_t destination) {
     TestNode::Enqueue(id, destination);
     Message message;
     message.id = id;
@@ -49,7 +51,7 @@
     message.rules = BaseSettings().classes[0];
     w.OnMessage(message);
   }
-  void Settle(Watcher& w, MessageId id, Result result) {
+  void Settle(ShadowEvaluation& w, MessageId id, Result result) {
     Outcome outcome;
     for (const SendRecord& sent : sends)
       if (sent.id == id) outcome.endpoint = sent.endpoint, outcome.latency = now_ - sent.at;  // as TestNode's
@@ -61,11 +63,12 @@
   }
   std::uint64_t Differences() const {
     std::uint64_t all = 0;
-    for (std::size_t i = 0; i < node::kOtherwise; ++i) all += watcher.Count(static_cast<Otherwise>(i));
+    for (std::size_t i = 0; i < node::kShadowDifferences; ++i)
+      all += watcher.Count(static_cast<ShadowDifference>(i));
     return all;
   }
 
-  Watcher watcher;
+  ShadowEvaluation watcher;
 
  private:
   Micros now_{0};
@@ -75,11 +78,11 @@
 void Play(Pair& pair, std::uint32_t seed) {
   std::mt19937 random(seed);
   MessageId id = 0;
-  pair.Both(kStart, [&](Watcher& w) {
+  pair.Both(kStart, [&](ShadowEvaluation& w) {
     pair.List(w, {TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
   });
   for (int step = 1; step < 400; ++step) {
-    pair.Both(kStart + milliseconds(20) * step, [&](Watcher& w) {
+    pair.Both(kStart + milliseconds(20) * step, [&](ShadowEvaluation& w) {
       if (random() % 4 == 0) pair.Take(w, ++id, 7 + random() % 2);
       for (std::size_t i = 0; i < pair.sends.size(); ++i) {
         if (pair.sends[i].settled || random() % 5 != 0) continue;
@@ -94,38 +97,39 @@
 
 TEST(Watched, TheSameSettingsCountNothing) {
   for (std::uint32_t seed = 1; seed <= 10; ++seed) {
-    Pair pair(BaseSettings(), Watched{});
+    Pair pair(BaseSettings(), ShadowSettings{});
     Play(pair, seed);
     EXPECT_GE(pair.sends.size(), 10u);
-    EXPECT_EQ(pair.Differences(), 0u) << seed << ": " << pair.watcher.Text();
-    EXPECT_EQ(pair.watcher.Text(), "");
+    EXPECT_EQ(pair.Differences(), 0u) << seed << ": " << pair.watcher.Summary();
+    EXPECT_EQ(pair.watcher.Summary(), "");
   }
 }
 
 TEST(Watched, FewerAttemptsAreCountedAsRefusedAndAMessageCountsOnce) {
-  Watched watched;
+  ShadowSettings watched;
   watched.max_attempts = 1;
   Pair pair(BaseSettings(), watched);
-  pair.Both(kStart, [&](Watcher& w) {
+  pair.Both(kStart, [&](ShadowEvaluation& w) {
     pair.List(w, {TestNode::MakeEndpoint(7, "a")});
     pair.Take(w, 1, 7);
   });
   ASSERT_EQ(pair.CountSends(MessageId{1}), 1);
   EXPECT_EQ(pair.Differences(), 0u);
-  pair.Both(kStart + milliseconds(100), [&](Watcher& w) { pair.Settle(w, 1, Result::kNoConnection); });
-  EXPECT_EQ(pair.watcher.Count(Otherwise::kRefused), 1u);
-  for (int i = 1; i < 50; ++i) pair.Both(kStart + milliseconds(100 + 20 * i), [](Watcher&) {});
+  pair.Both(kStart + milliseconds(100),
+            [&](ShadowEvaluation& w) { pair.Settle(w, 1, Result::kNoConnection); });
+  EXPECT_EQ(pair.watcher.Count(ShadowDifference::kRefused), 1u);
+  for (int i = 1; i < 50; ++i) pair.Both(kStart + milliseconds(100 + 20 * i), [](ShadowEvaluation&) {});
   EXPECT_EQ(pair.Differences(), 1u);
   EXPECT_EQ(pair.watcher.compared(), 0u);
   EXPECT_TRUE(pair.answers.empty());  // the message itself is held as before
 }
 
 TEST(Watched, MoreSendersAreCountedAsWaiting) {
-  Watched watched;
+  ShadowSettings watched;
   watched.senders = 200;
   Pair pair(BaseSettings(), watched);
   Play(pair, 3);
-  EXPECT_GT(pair.watcher.Count(Otherwise::kWaited), 0u);
+  EXPECT_GT(pair.watcher.Count(ShadowDifference::kWaited), 0u);
   EXPECT_LE(pair.Differences(), pair.watcher.messages());
 }
 
