--- a/src/node/describe.h
+++ b/src/node/describe.h
@@ -1,4 +1,4 @@
-// Words for the log: the rules that a message goes by, and why it was given up.
+// Descriptions for the log: the rules that a message follows, and why it was given up.
 #pragma once
 
 #include <string>
@@ -8,7 +8,8 @@
 
 namespace indigosaddle::node {
 
-// Such as "unsafe", "safe", "keyed by zone for 20000 ms", each with ", in order" where its key's order binds.
+// For example "unsafe", "safe" or "keyed by zone for 20000 ms", followed by ", in order" if messages with the
+// same order key must be delivered in order.
 std::string Describe(const RepeatRules& rules);
 
 std::string_view NameOf(GiveUpCause cause);
--- a/src/node/zone_numbers.h
+++ b/src/node/zone_numbers.h
@@ -1,5 +1,5 @@
-// The numbers by which the module tells zones apart. Attempts at a message may be bound to the zone of its
-// first run: two zones that are not known to be one have different numbers.
+// Numbers by which the decision engine tells zones apart. Repeats of a message may be restricted to the zone
+// of its first attempt, so zones that may differ never get the same number.
 #pragma once
 
 #include <map>
@@ -12,8 +12,8 @@
 
 class ZoneNumbers {
  public:
-  // Of a listed endpoint. A site that the settings do not have is a zone of its own; where the list names
-  // none, so is the endpoint.
+  // The zone number of a listed endpoint. `zones` are the configured ones, by the site's name. A site that is
+  // not configured is a zone of its own, and so is an endpoint for which the list names no site.
   int Of(const std::map<std::string, int>& zones, const std::string& site, const std::string& host) {
     if (const auto it = zones.find(site); it != zones.end()) return it->second;
     const auto [at, first] =
@@ -23,7 +23,7 @@
   }
 
  private:
-  int lowest_ = kUnknownZone;
+  int lowest_ = kUnknownZone;  // the last number given
   std::map<std::string, int> by_site_, by_host_;
 };
 
