--- a/src/node/node.h
+++ b/src/node/node.h
@@ -21,14 +21,14 @@
 #include "net/loop.h"
 #include "net/notices.h"
 #include "net/resp_server.h"
-#include "node/changes.h"
 #include "node/config.h"
+#include "node/config_changes.h"
 #include "node/fleet_link.h"
 #include "node/journal_file.h"
 #include "node/message_rules.h"
 #include "node/node_clock.h"
 #include "node/repeated_event.h"
-#include "node/watch.h"
+#include "node/shadow_evaluation.h"
 #include "node/zone_numbers.h"
 #include "state/reducer.h"
 
@@ -43,7 +43,7 @@
              private net::ControlServer::Handler,
              private net::AdminServer::Handler,
              private net::CallObserver,
-             private Changes::Owner {
+             private ConfigChanges::Owner {
  public:
   Node(net::Loop& loop, StartupConfig startup, base::Log& log);
   ~Node() override;
@@ -114,9 +114,9 @@
   std::string Metrics() const;
   std::uint64_t WatchLosses() const;
 
-  // Changes::Owner: access of configuration changes to the node.
+  // ConfigChanges::Owner: access of configuration changes to the node.
   const Config& running() const override { return config_; }
-  std::size_t HeldOf(const std::string& message_class, const std::string& tenant) const override;
+  std::size_t HeldMessages(const std::string& message_class, const std::string& tenant) const override;
   void Adopt(Config next) override;
 
   bool HasWaitingClient(state::Serial serial) const;
@@ -187,7 +187,7 @@
   ZoneNumbers zone_numbers_;  // of listed endpoints
   state::State state_;
   std::unique_ptr<Brain> brain_;
-  std::unique_ptr<Watcher> shadow_evaluation_;  // null: no settings are evaluated
+  std::unique_ptr<ShadowEvaluation> shadow_evaluation_;  // null: no settings are evaluated
   net::CallPool pool_;
   net::RespServer server_;
   std::unique_ptr<net::Discovery> discovery_;  // null once intake has ended
@@ -207,7 +207,7 @@
   net::Notices notices_;
   std::optional<net::ControlServer> control_;  // empty once the process ends
   std::optional<net::AdminServer> admin_;      // empty once the process ends
-  Changes config_changes_;
+  ConfigChanges config_changes_;
   std::unique_ptr<FleetLink> fleet_;  // null: no fleet is configured
   net::Timer turn_timer_, journal_retry_timer_, shutdown_timer_, report_timer_, tick_timer_;
   net::Timer ownership_timer_, disconnect_idle_timer_, switch_discovery_timer_, standby_timer_;
--- a/src/node/node_fleet.cpp
+++ b/src/node/node_fleet.cpp
@@ -63,7 +63,7 @@
   if (fleet_ == nullptr) return;
   const bool list_current = watch_lost_at_ == Micros(0) || now - watch_lost_at_ < kListLostAfter;
   const bool clients_present = now - std::max(clients_seen_at_, started_at_) < kClientsGoneAfter;
-  fleet_->Tell(list_current, clients_present);
+  fleet_->SetLocalConditions(list_current, clients_present);
 }
 
 }  // namespace indigosaddle::node
--- a/src/node/node_journals.cpp
+++ b/src/node/node_journals.cpp
@@ -5,7 +5,7 @@
 
 #include "base/log_events.h"
 #include "node/node.h"
-#include "node/shares.h"
+#include "node/resource_shares.h"
 
 namespace indigosaddle::node {
 namespace {
@@ -40,7 +40,7 @@
 
 bool Node::ReadJournals(JournalFile::Role role, state::Recovered& recovered) {
   std::string bytes, error;
-  if (!journal_.Read(MostJournal(config_), bytes, error)) {
+  if (!journal_.Read(MaxReadJournalBytes(config_), bytes, error)) {
     log_.Write(base::kFolderUnusable, config_.state_folder, error);
     return false;
   }
@@ -60,7 +60,7 @@
   std::string next_bytes;
   error.clear();
   if ((!is_owner || journal_.next_is_abandoned()) &&
-      !journal_.ReadNext(MostJournal(config_), next_bytes, error)) {
+      !journal_.ReadNext(MaxReadJournalBytes(config_), next_bytes, error)) {
     log_.Write(base::kFolderUnusable, config_.state_folder, error);
     return false;
   }
@@ -100,7 +100,7 @@
   if (journal_.Claim() != JournalFile::Role::kOwner) return;
   std::string bytes, error;
   // If the file can't be read, it stays as it is and this process goes on as a successor.
-  if (!journal_.Read(MostJournal(config_), bytes, error)) {
+  if (!journal_.Read(MaxReadJournalBytes(config_), bytes, error)) {
     log_.Write(base::kFolderUnusable, config_.state_folder, error);
     return ownership_timer_.Start(kReadRetryInterval);
   }
@@ -135,7 +135,7 @@
 // While two processes share the folder, each may fill half of the journal's room.
 void Node::ShareJournalQuota(bool shared) {
   if (std::exchange(journal_quota_shared_, shared) != shared)
-    state_.limits.journal_bytes = JournalRoom(config_, shared);
+    state_.limits.journal_bytes = JournalQuotaBytes(config_, shared);
 }
 
 }  // namespace indigosaddle::node
--- a/src/node/node_metrics.cpp
+++ b/src/node/node_metrics.cpp
@@ -10,7 +10,7 @@
 #include "base/version.h"
 #include "node/counts_by_name.h"
 #include "node/node.h"
-#include "node/shares.h"
+#include "node/resource_shares.h"
 
 namespace indigosaddle::node {
 namespace {
@@ -94,15 +94,17 @@
         {"given_up", given_up_}}},
       {"watch", shadow_evaluation_ ? shadow_evaluation_->Json() : nlohmann::json()},
       {"fleet", fleet_ ? fleet_->Json() : nlohmann::json()},
-      {"clients", {{"now", server_.connections()}, {"most", ClientsPart(config_)}}},
+      {"clients", {{"now", server_.connections()}, {"most", MaxClientConnections(config_)}}},
       {"calls",
-       {{"connections", pool_.connections()}, {"most", CallsPart(config_)}, {"opened", pool_.opened()}}},
+       {{"connections", pool_.connections()},
+        {"most", MaxCallConnections(config_)},
+        {"opened", pool_.opened()}}},
       {"connections", ConnectionStatus()},
       {"slow_start",
        {{"recovering", brain_->slow_start().recovering}, {"calls", brain_->slow_start().calls}}},
       {"journal",
        {{"bytes", state_.journal_size},
-        {"room", JournalRoom(config_, journal_quota_shared_)},
+        {"room", JournalQuotaBytes(config_, journal_quota_shared_)},
         {"writable", !journal_failed_}}},
       {"log", {{"lines", log_.written()}, {"dropped", log_.dropped()}, {"waiting_bytes", log_.waiting()}}}};
 }
@@ -116,7 +118,7 @@
   UpdateFleetConditions();
   clock_.Save();
   SaveRules();
-  config_changes_.KeepLastGood();
+  config_changes_.SaveLastGood();
   log_.Tick();
   tick_timer_.Start(kTickInterval);
 }
@@ -134,7 +136,7 @@
              CountsByName<net::ClientCloseReason>(client_close_reasons_), ambiguous_rules_);
   LogConnectionReport();
   if (shadow_evaluation_)
-    log_.Write(base::kWatch, shadow_evaluation_->messages(), shadow_evaluation_->Text());
+    log_.Write(base::kWatch, shadow_evaluation_->messages(), shadow_evaluation_->Summary());
   report_timer_.Start(kReportInterval);
 }
 
--- a/src/node/node_operations.cpp
+++ b/src/node/node_operations.cpp
@@ -8,7 +8,7 @@
 
 #include "base/log_events.h"
 #include "node/node.h"
-#include "node/shares.h"
+#include "node/resource_shares.h"
 
 namespace indigosaddle::node {
 namespace {
@@ -26,7 +26,7 @@
   config_changes_.Reload();
 }
 
-std::size_t Node::HeldOf(const std::string& message_class, const std::string& tenant) const {
+std::size_t Node::HeldMessages(const std::string& message_class, const std::string& tenant) const {
   std::size_t count = 0;
   for (const auto& [serial, pending] : state_.pending) {
     const bool matches = message_class.empty() ? pending.message.tenant == tenant
@@ -108,7 +108,7 @@
   if (request.value("op", json()) == json("status")) return answer(Status());
   if (lifecycle_.stopping() && !May(Action::kReloadConfiguration))
     return answer({{"ok", false}, {"text", "the node is stopping"}});
-  if (!config_changes_.Request(request, answer)) answer({{"ok", false}, {"text", "unknown op"}});
+  if (!config_changes_.HandleRequest(request, answer)) answer({{"ok", false}, {"text", "unknown op"}});
 }
 
 net::AdminResponse Node::OnAdminRequest(std::string_view method, std::string_view path) {
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -122,7 +122,7 @@
 }
 void Node::Execute(state::TellRetryAfter& effect) {
   brain_->OnRetryAfter(effect.endpoint, effect.wait);
-  if (shadow_evaluation_) shadow_evaluation_->OnToldWait(effect.endpoint, effect.wait);
+  if (shadow_evaluation_) shadow_evaluation_->OnRetryAfter(effect.endpoint, effect.wait);
 }
 void Node::Execute(state::TellStop& effect) {
   brain_->OnStop(effect.at);
@@ -130,7 +130,7 @@
 }
 void Node::Execute(state::TellZoneLost& effect) {
   brain_->OnZoneLost(effect.zone);
-  if (shadow_evaluation_) shadow_evaluation_->OnZoneUnsure(effect.zone);
+  if (shadow_evaluation_) shadow_evaluation_->OnZoneLost(effect.zone);
 }
 void Node::Execute(state::AppendJournal& effect) { OnJournalWritten(journal_.Append(effect.bytes)); }
 void Node::Execute(state::RewriteJournal& effect) { OnJournalWritten(journal_.Rewrite(effect.bytes)); }
@@ -202,7 +202,7 @@
 
 // Decisions of the engine, as events of the turn.
 void Node::Send(MessageId id, const EndpointId& endpoint, Micros timeout) {
-  if (shadow_evaluation_) shadow_evaluation_->Sent(id, endpoint);
+  if (shadow_evaluation_) shadow_evaluation_->RecordSent(id, endpoint);
   const auto listed = state_.endpoints.find(endpoint);
   const bool reuses_idle = listed != state_.endpoints.end() &&
                            idle_connections_assigned_[endpoint] <
@@ -215,12 +215,12 @@
   return pending == state_.pending.end() || RequiresFreshConnection(pending->second.message.rules);
 }
 bool Node::Refuse(MessageId id, Micros not_before, GiveUpCause cause) {
-  if (shadow_evaluation_) shadow_evaluation_->Refused(id);
+  if (shadow_evaluation_) shadow_evaluation_->RecordRefused(id);
   decisions_.emplace_back(state::ReturnRequested{id, not_before, cause});
   return HasWaitingClient(id);
 }
 bool Node::Fail(MessageId id, GiveUpCause cause) {
-  if (shadow_evaluation_) shadow_evaluation_->Failed(id);
+  if (shadow_evaluation_) shadow_evaluation_->RecordFailed(id);
   decisions_.emplace_back(state::FailRequested{id, cause});
   return HasWaitingClient(id);
 }
