--- a/src/config/strict_json.cpp
+++ b/src/config/strict_json.cpp
@@ -12,14 +12,15 @@
 
 using nlohmann::json;
 
-// Follows the parser's events, for what its result no longer shows.
-class Watcher {
+// Follows the parser's events and finds the faults that the parsed value no longer shows: repeated names and
+// too deep nesting.
+class StructureChecker {
  public:
-  explicit Watcher(const std::string& file) : faults_(file) {}
+  explicit StructureChecker(const std::string& file) : faults_(file) {}
 
   bool On(int depth, json::parse_event_t event, const json& parsed) {
-    if (depth > kDeepest) {
-      if (!too_deep_) Say("", fmt::format("nested over {} deep", kDeepest));
+    if (depth > kMaxDepth) {
+      if (!too_deep_) AddFault("", fmt::format("nested over {} deep", kMaxDepth));
       too_deep_ = true;
       return false;
     }
@@ -27,16 +28,16 @@
     if (event == json::parse_event_t::object_end && !names_.empty()) names_.pop_back();
     if (event == json::parse_event_t::key && !names_.empty()) {
       const auto& name = parsed.get_ref<const std::string&>();
-      if (!names_.back().insert(name).second) Say(name, "stands twice in one object");
+      if (!names_.back().insert(name).second) AddFault(name, "stands twice in one object");
     }
     return true;
   }
   std::vector<Fault> TakeFaults() { return faults_.Take(); }
 
  private:
-  void Say(const std::string& path, std::string what) { faults_.Add(path, std::move(what)); }
+  void AddFault(const std::string& path, std::string problem) { faults_.Add(path, std::move(problem)); }
 
-  std::vector<std::set<std::string>> names_;  // of the objects that are open
+  std::vector<std::set<std::string>> names_;  // of each object that is open, the innermost last
   FaultList faults_;
   bool too_deep_ = false;
 };
@@ -45,24 +46,27 @@
 
 ParsedObject ParseObject(std::string_view text, const std::string& file) {
   ParsedObject parsed;
-  // The parser would take it for the end.
+  // The parser takes a zero byte for the end of the text and would ignore what follows it.
   if (const std::size_t zero = text.find('\0'); zero != std::string_view::npos) {
     parsed.faults.push_back(
         {file, {}, "", fmt::format("expected one JSON object; byte {} is zero", zero + 1)});
     return parsed;
   }
-  Watcher watcher(file);
+  StructureChecker checker(file);
   json whole;
   try {
     whole = json::parse(text, [&](int depth, json::parse_event_t event, json& value) {
-      return watcher.On(depth, event, value);
+      return checker.On(depth, event, value);
     });
-    parsed.faults = watcher.TakeFaults();
+    parsed.faults = checker.TakeFaults();
     if (!whole.is_object()) parsed.faults.push_back({file, {}, "", "expected one JSON object"});
   } catch (const json::parse_error& error) {
     parsed.faults.push_back(
-        {file, {}, "", fmt::format("expected one JSON object; it is none from byte {} on", error.byte)});
-  } catch (const json::exception&) {  // a number that no double holds
+        {file,
+         {},
+         "",
+         fmt::format("expected one JSON object; the JSON is malformed at byte {}", error.byte)});
+  } catch (const json::exception&) {  // a number that is too large for a double
     parsed.faults.push_back({file, {}, "", "expected one JSON object; a number in it is out of range"});
   }
   if (parsed.faults.empty()) parsed.value = std::move(whole);
--- a/src/config/strict_json.h
+++ b/src/config/strict_json.h
@@ -1,4 +1,4 @@
-// JSON from outside, read without leniency: what two readers could understand differently is a fault.
+// Parses JSON from other systems strictly: input that two parsers could understand differently is a fault.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -15,10 +15,10 @@
   std::vector<Fault> faults;  // where there is one, `value` is an empty object
 };
 
-// One JSON object and nothing behind it, no name twice in any of its objects, nested at most kDeepest times.
-// `file` is where the text came from, for the faults.
+// Parses a text that must be one JSON object with nothing after it. No object in it may have a name twice,
+// and it may be nested at most kMaxDepth levels deep. `file` is where the text came from, for the faults.
 ParsedObject ParseObject(std::string_view text, const std::string& file);
 
-constexpr int kDeepest = 32;
+constexpr int kMaxDepth = 32;
 
 }  // namespace indigosaddle::config
