--- a/src/node/changes.cpp
+++ b/src/node/changes.cpp
@@ -161,14 +161,14 @@
 }
 
 void Changes::Do(const config::BeginTrial&) {
-  look_.Start(owner_.running().change.trial / config::Guard::kLooks);
+  look_.Start(owner_.running().change.trial / config::Guard::kMaxLooks);
 }
 
 void Changes::Do(const config::EndTrial&) {
   look_.Stop();
   step_("config.keep");
-  const config::Judgement last = guard_.End(loop_.Now());
-  events_.emplace_back(config::GuardSaid{last.finding == config::Finding::kBurst, true, last.why});
+  const config::Assessment last = guard_.End(loop_.Now());
+  events_.emplace_back(config::GuardSaid{last.verdict == config::Verdict::kRegression, true, last.reason});
 }
 
 void Changes::Do(const config::CancelTrial&) {
@@ -177,9 +177,9 @@
 }
 
 void Changes::Look() {
-  const config::Judgement now = guard_.Look(loop_.Now());
-  if (now.finding == config::Finding::kBurst) return Feed(config::GuardSaid{true, false, now.why});
-  if (guard_.watching()) look_.Start(owner_.running().change.trial / config::Guard::kLooks);
+  const config::Assessment now = guard_.Look(loop_.Now());
+  if (now.verdict == config::Verdict::kRegression) return Feed(config::GuardSaid{true, false, now.reason});
+  if (guard_.in_trial()) look_.Start(owner_.running().change.trial / config::Guard::kMaxLooks);
 }
 
 void Changes::Do(const config::ArmTimer& e) { due_.Start(std::max(Micros(0), e.at - loop_.Now())); }
--- a/src/node/changes.h
+++ b/src/node/changes.h
@@ -41,7 +41,7 @@
   std::uint64_t reload_errors() const { return reload_errors_; }  // turned down at SIGHUP
   void Stop();    // refuses what is asked for from now on; a trial goes on
   void Freeze();  // nothing is put in force or undone any more; the next process goes on with a trial
-  void Count(config::Sign sign, Micros now) { guard_.Count(sign, now); }
+  void Count(config::GuardOutcome sign, Micros now) { guard_.Count(sign, now); }
 
   // One request about the configuration, as a JSON object; `answer` is called once, now or later. False: not
   // its matter.
--- a/src/node/config_operators.cpp
+++ b/src/node/config_operators.cpp
@@ -40,8 +40,8 @@
   if (config::At(whole, "operator.control.socket", 0) != nullptr)
     config.control_socket = text("operator.control.socket");
   config.change.trial = time("operator.change.trial");
-  config.change.before = time("operator.change.before");
-  config.change.false_alarms = number("operator.change.false_alarms");
+  config.change.baseline = time("operator.change.before");
+  config.change.false_alarm_rate = number("operator.change.false_alarms");
   ReadFleet(whole, config.fleet);
 }
 
--- a/src/node/node_log.cpp
+++ b/src/node/node_log.cpp
@@ -87,10 +87,10 @@
   const int number = NumberOf(config_.classes, e.message_class);
   const Micros aim = number >= 0 ? config_.settings.classes[static_cast<std::size_t>(number)].aim : Micros(0);
   const bool late = e.result == MessageResult::kDelivered && aim > Micros(0) && held > aim;
-  changes_.Count(e.result == MessageResult::kReturned ? config::Sign::kRefused
-                 : e.result == MessageResult::kFailed ? config::Sign::kFailed
-                 : late                               ? config::Sign::kLate
-                                                      : config::Sign::kInTime,
+  changes_.Count(e.result == MessageResult::kReturned ? config::GuardOutcome::kRefused
+                 : e.result == MessageResult::kFailed ? config::GuardOutcome::kFailed
+                 : late                               ? config::GuardOutcome::kLate
+                                                      : config::GuardOutcome::kOnTime,
                  loop_.Now());
 }
 
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -159,8 +159,9 @@
     ++(e.answer == state::Answer::kBusy ? figures.rejected : figures.failed);
   }
   if (e.answer != state::Answer::kAccepted && e.refusal != state::Refusal::kStopping) {
-    changes_.Count(e.answer == state::Answer::kBusy ? config::Sign::kRefused : config::Sign::kFailed,
-                   loop_.Now());
+    changes_.Count(
+        e.answer == state::Answer::kBusy ? config::GuardOutcome::kRefused : config::GuardOutcome::kFailed,
+        loop_.Now());
   }
   if (e.answer != state::Answer::kAccepted) {
     const char* answer = e.answer == state::Answer::kBusy ? "busy" : "failed";
