--- a/src/cli/config_history.cpp
+++ b/src/cli/config_history.cpp
@@ -28,7 +28,7 @@
       std::string trouble;
       if (!config::Store(options->state, 0).Load(history, trouble, false))
         throw Failure(Exit::kFound, trouble);
-      all = config::ListOf(history);
+      all = config::HistoryAsJson(history);
     }
     if (options->json) return fmt::print("{}\n", all.dump(2));
     for (const auto& one : all) {
--- a/src/config/store.cpp
+++ b/src/config/store.cpp
@@ -22,59 +22,64 @@
 using nlohmann::json;
 
 constexpr std::string_view kMagic = "indigosaddle generations 1 ";
-constexpr std::size_t kMostFile = std::size_t{256} * 1024;
-constexpr std::size_t kPartOfDisk = 16;  // for one file: one in so many
-constexpr std::size_t kFiles = 3;        // the file, its successor, one set aside
-constexpr std::size_t kBlock = 512;      // files are counted in whole ones
+constexpr std::size_t kMaxFileBytes = std::size_t{256} * 1024;
+constexpr std::size_t kDiskDivisor = 16;  // one file takes at most this part of the disk
+constexpr std::size_t kFiles = 3;         // the file, its successor while it is written, one set aside
+constexpr std::size_t kBlockBytes = 512;  // the state folder's size is counted in whole blocks
 
-std::size_t MostOf(std::size_t disk) { return std::min(kMostFile, disk / kPartOfDisk); }
+std::size_t MaxFileBytes(std::size_t disk_bytes) {
+  return std::min(kMaxFileBytes, disk_bytes / kDiskDivisor);
+}
 
-std::string Write(const History& history, const std::set<std::uint64_t>& without) {
+// The text of the file: a line with magic and hash, then a line of JSON. The generations in
+// `without_document` are written without their documents.
+std::string Serialize(const History& history, const std::set<std::uint64_t>& without_document) {
   json all = json::array();
-  for (const Generation& g : history.generations) {
-    all.push_back({{"number", g.number},
-                   {"author", g.author},
-                   {"reason", g.reason},
-                   {"at", g.at.count()},
-                   {"result", std::string(NameOf(g.result))},
-                   {"why", g.why},
-                   {"deaths", g.deaths},
-                   {"document", without.contains(g.number) ? "" : g.document}});
+  for (const Generation& generation : history.generations) {
+    all.push_back({{"number", generation.number},
+                   {"author", generation.author},
+                   {"reason", generation.reason},
+                   {"at", generation.staged_at.count()},
+                   {"result", std::string(NameOf(generation.result))},
+                   {"why", generation.result_reason},
+                   {"deaths", generation.crashes_on_trial},
+                   {"document", without_document.contains(generation.number) ? "" : generation.document}});
   }
   const json whole = {{"kept", history.kept},
                       {"on_trial", history.on_trial},
                       {"seen_file", history.seen_file},
-                      {"stopped", history.stopped},
+                      {"stopped", history.planned_stop},
                       {"generations", all}};
   const std::string body = whole.dump(-1, ' ', false, json::error_handler_t::replace);
   return fmt::format("{}{}\n{}\n", kMagic, Hash(body), body);
 }
 
+// Returns false where the text is damaged; `history` may then be filled in part.
 bool Parse(std::string_view text, History& history) {
-  const std::size_t line = text.find('\n');
-  if (line == std::string_view::npos || !text.starts_with(kMagic) || !text.ends_with('\n')) return false;
-  const std::string_view body = text.substr(line + 1, text.size() - line - 2);
-  if (text.substr(kMagic.size(), line - kMagic.size()) != Hash(body)) return false;
+  const std::size_t line_end = text.find('\n');
+  if (line_end == std::string_view::npos || !text.starts_with(kMagic) || !text.ends_with('\n')) return false;
+  const std::string_view body = text.substr(line_end + 1, text.size() - line_end - 2);
+  if (text.substr(kMagic.size(), line_end - kMagic.size()) != Hash(body)) return false;
   try {
     const json whole = json::parse(body);
     history.kept = whole.at("kept");
     history.on_trial = whole.at("on_trial");
     history.seen_file = whole.at("seen_file");
-    history.stopped = whole.at("stopped");
-    for (const json& one : whole.at("generations")) {
-      Generation g;
-      g.number = one.at("number");
-      g.author = one.at("author");
-      g.reason = one.at("reason");
-      g.at = Micros(one.at("at").get<std::int64_t>());
-      g.why = one.at("why");
-      g.deaths = one.at("deaths");
-      g.document = one.at("document");
-      const std::string result = one.at("result");
-      g.result = result == NameOf(Result::kKept)      ? Result::kKept
-                 : result == NameOf(Result::kOnTrial) ? Result::kOnTrial
-                                                      : Result::kUndone;
-      history.generations.push_back(std::move(g));
+    history.planned_stop = whole.at("stopped");
+    for (const json& saved : whole.at("generations")) {
+      Generation generation;
+      generation.number = saved.at("number");
+      generation.author = saved.at("author");
+      generation.reason = saved.at("reason");
+      generation.staged_at = Micros(saved.at("at").get<std::int64_t>());
+      generation.result_reason = saved.at("why");
+      generation.crashes_on_trial = saved.at("deaths");
+      generation.document = saved.at("document");
+      const std::string result = saved.at("result");
+      generation.result = result == NameOf(GenerationResult::kKept)      ? GenerationResult::kKept
+                          : result == NameOf(GenerationResult::kOnTrial) ? GenerationResult::kOnTrial
+                                                                         : GenerationResult::kUndone;
+      history.generations.push_back(std::move(generation));
     }
   } catch (const json::exception&) {
     return false;
@@ -84,81 +89,83 @@
 
 }  // namespace
 
-std::size_t StoreRoom(std::size_t disk) { return kFiles * (MostOf(disk) + kBlock); }
+std::size_t MaxStoreBytes(std::size_t disk_bytes) {
+  return kFiles * (MaxFileBytes(disk_bytes) + kBlockBytes);
+}
 
 std::string Hash(std::string_view text) {
   return fmt::format("{:016x}", XXH3_64bits(text.data(), text.size()));
 }
 
-json ListOf(const History& history) {
+json HistoryAsJson(const History& history) {
   json all = json::array();
-  for (const Generation& g : history.generations) {
-    all.push_back({{"generation", g.number},
-                   {"author", g.author},
-                   {"reason", g.reason},
-                   {"at_ms", g.at.count() / 1000},
-                   {"result", std::string(NameOf(g.result))},
-                   {"why", g.why}});
+  for (const Generation& generation : history.generations) {
+    all.push_back({{"generation", generation.number},
+                   {"author", generation.author},
+                   {"reason", generation.reason},
+                   {"at_ms", generation.staged_at.count() / 1000},
+                   {"result", std::string(NameOf(generation.result))},
+                   {"why", generation.result_reason}});
   }
   return all;
 }
 
-Store::Store(const std::string& folder, std::size_t disk, std::function<void(const char*)> step)
+Store::Store(const std::string& folder, std::size_t disk_bytes, std::function<void(const char*)> on_step)
     : path_(folder + "/generations"),
-      most_(MostOf(disk)),
-      step_(step ? std::move(step) : [](const char*) {}) {}
+      max_bytes_(MaxFileBytes(disk_bytes)),
+      on_step_(on_step ? std::move(on_step) : [](const char*) {}) {}
 
-bool Store::Load(History& history, std::string& trouble, bool set_aside) const {
+bool Store::Load(History& history, std::string& error, bool set_aside) const {
   history = {};
   std::ifstream file(path_, std::ios::binary);
   if (!file) return true;
-  std::string text(kMostFile + 1, '\0');
+  std::string text(kMaxFileBytes + 1, '\0');
   file.read(text.data(), static_cast<std::streamsize>(text.size()));
   text.resize(static_cast<std::size_t>(file.gcount()));
-  if (text.size() <= kMostFile && Parse(text, history)) return true;
+  if (text.size() <= kMaxFileBytes && Parse(text, history)) return true;
   history = {};
-  trouble = path_ + " is damaged";
+  error = path_ + " is damaged";
   if (set_aside) {
     const std::string aside = path_ + ".damaged";
-    trouble += std::rename(path_.c_str(), aside.c_str()) == 0 ? ", set aside as " + aside
-                                                              : " and can't be set aside";
+    error += std::rename(path_.c_str(), aside.c_str()) == 0 ? ", set aside as " + aside
+                                                            : " and can't be set aside";
   }
   return false;
 }
 
-bool Store::Save(const History& history, std::string& trouble) const {
-  std::set<std::uint64_t> without;
-  std::string text = Write(history, without);
-  for (const Generation& g : history.generations) {
-    if (text.size() <= most_) break;
-    if (g.number == history.kept || g.result == Result::kOnTrial) continue;
-    without.insert(g.number);
-    text = Write(history, without);
+bool Store::Save(const History& history, std::string& error) const {
+  std::set<std::uint64_t> without_document;
+  std::string text = Serialize(history, without_document);
+  for (const Generation& generation : history.generations) {
+    if (text.size() <= max_bytes_) break;
+    if (generation.number == history.kept || generation.result == GenerationResult::kOnTrial) continue;
+    without_document.insert(generation.number);
+    text = Serialize(history, without_document);
   }
-  if (text.size() > most_) {
-    trouble =
-        fmt::format("{} bytes are more than the {} that the state folder has for them", text.size(), most_);
+  if (text.size() > max_bytes_) {
+    error = fmt::format("the generations take {} bytes, more than the {} that the state folder allows",
+                        text.size(), max_bytes_);
     return false;
   }
-  const std::string next = path_ + ".new";
-  step_("config.save.open");
-  const int file = open(next.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
+  const std::string next_path = path_ + ".new";
+  on_step_("config.save.open");
+  const int file = open(next_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   bool ok = file >= 0;
   const std::size_t half = text.size() / 2;
   for (std::size_t done = 0; ok && done < text.size();) {
     const std::size_t until = done < half ? half : text.size();
-    const ssize_t wrote = write(file, text.data() + done, until - done);
-    if (wrote < 0 && errno == EINTR) continue;
-    ok = wrote > 0;
-    if (ok) done += static_cast<std::size_t>(wrote);
-    if (done == half) step_("config.save.half");
+    const ssize_t written = write(file, text.data() + done, until - done);
+    if (written < 0 && errno == EINTR) continue;
+    ok = written > 0;
+    if (ok) done += static_cast<std::size_t>(written);
+    if (done == half) on_step_("config.save.half");
   }
-  step_("config.save.written");
-  ok = ok && std::rename(next.c_str(), path_.c_str()) == 0;
-  if (!ok) trouble = std::strerror(errno);
+  on_step_("config.save.written");
+  ok = ok && std::rename(next_path.c_str(), path_.c_str()) == 0;
+  if (!ok) error = std::strerror(errno);
   if (file >= 0) close(file);
-  if (!ok) unlink(next.c_str());
-  step_("config.save.renamed");
+  if (!ok) unlink(next_path.c_str());
+  on_step_("config.save.renamed");
   return ok;
 }
 
--- a/src/config/transaction.cpp
+++ b/src/config/transaction.cpp
@@ -6,8 +6,9 @@
 namespace indigosaddle::config {
 namespace {
 
-constexpr int kMostDeaths = 1;  // of the process in one generation's trial; one may be chance
-constexpr Micros kSaveAgain = std::chrono::seconds(5);
+// With more crashes of the process on its trial a generation is undone. One crash may be a coincidence.
+constexpr int kMaxCrashesOnTrial = 1;
+constexpr Micros kSaveRetryDelay = std::chrono::seconds(5);
 
 }  // namespace
 
@@ -19,29 +20,31 @@
   history_ = e.history;
   now_ = e.now;
   phase_ = Phase::kIdle;
-  const bool planned = std::exchange(history_.stopped, false);
+  const bool planned_stop = std::exchange(history_.planned_stop, false);
   if (const std::uint64_t number = std::exchange(history_.on_trial, 0); number != 0) {
-    if (Generation* cut = history_.Find(number); cut != nullptr && cut->result == Result::kOnTrial) {
-      cut->deaths += planned ? 0 : 1;
-      const bool often = cut->deaths > kMostDeaths;
-      if (often) {
-        cut->result = Result::kUndone;
-        cut->why = "the process died in its trial more than once";
+    if (Generation* interrupted = history_.Find(number);
+        interrupted != nullptr && interrupted->result == GenerationResult::kOnTrial) {
+      interrupted->crashes_on_trial += planned_stop ? 0 : 1;
+      const bool too_often = interrupted->crashes_on_trial > kMaxCrashesOnTrial;
+      if (too_often) {
+        interrupted->result = GenerationResult::kUndone;
+        interrupted->result_reason = "the process died in its trial more than once";
       }
-      effects.emplace_back(
-          Tell{Told::kInterrupted, number, history_.kept, cut->author,
-               often ? cut->why : "it is tried once more when the node has served for a while"});
+      effects.emplace_back(WriteLog{LogKind::kInterrupted, number, history_.kept, interrupted->author,
+                                    too_often
+                                        ? interrupted->result_reason
+                                        : "it is tried once more when the node has served for a while"});
     }
   }
   for (const Generation& generation : history_.generations) {
-    if (generation.result == Result::kOnTrial) resume_at_ = now_ + rules_.resume_after;
+    if (generation.result == GenerationResult::kOnTrial) resume_at_ = now_ + rules_.resume_after;
   }
   if (resume_at_ > Micros(0)) effects.emplace_back(ArmTimer{resume_at_});
-  effects.emplace_back(Save{});  // its answer finds nothing in work
+  effects.emplace_back(Save{});  // its answer has no effect while the phase is kIdle
 }
 
 void Transactions::Refuse(const Proposal& proposal, std::string reason, TransactionEffects& effects) {
-  effects.emplace_back(Tell{Told::kRefused, 0, in_force(), proposal.author, reason});
+  effects.emplace_back(WriteLog{LogKind::kRefused, 0, in_force(), proposal.author, reason});
   if (proposal.ticket != 0) effects.emplace_back(Answer{proposal.ticket, false, 0, std::move(reason)});
 }
 
@@ -55,12 +58,14 @@
   }
   if (stopping_) return Refuse(proposal, "the node is stopping", effects);
   if (phase_ != Phase::kIdle) {
-    if (!proposal.wait) {
-      return Refuse(proposal,
-                    Numbered(history_.on_trial) + " is on trial; wait for its end, or ask to be queued",
-                    effects);
+    if (!proposal.queue_if_busy) {
+      return Refuse(
+          proposal,
+          GenerationLabel(history_.on_trial) + " is on trial; wait for its end, or ask to be queued",
+          effects);
     }
-    if (queue_.size() >= kMostQueued) return Refuse(proposal, "too many changes wait already", effects);
+    if (queue_.size() >= kMaxQueuedProposals)
+      return Refuse(proposal, "too many changes wait already", effects);
     queue_.push_back(proposal);
     return;
   }
@@ -74,17 +79,19 @@
   Stage(proposal, e.now, effects);
 }
 
-// What it was judged against has changed since.
+// A proposal that was queued, or goes back to an earlier generation, has been checked against what is in
+// force now.
 void Transactions::Handle(const Rechecked& e, TransactionEffects& effects) {
   Handle(Proposed{e.proposal, e.now}, effects);
-  if (phase_ == Phase::kIdle) Next(effects);
+  if (phase_ == Phase::kIdle) RecheckNextQueued(effects);
 }
 
 void Transactions::Stage(const Proposal& proposal, Micros now, TransactionEffects& effects) {
-  for (Generation& old : history_.generations) {  // what waited to be tried once more
-    if (old.result != Result::kOnTrial) continue;
-    old.result = Result::kUndone;
-    old.why = "superseded while it waited for a second trial";
+  // A change whose trial was interrupted no longer gets a second trial.
+  for (Generation& old : history_.generations) {
+    if (old.result != GenerationResult::kOnTrial) continue;
+    old.result = GenerationResult::kUndone;
+    old.result_reason = "superseded while it waited for a second trial";
   }
   resume_at_ = Micros(0);
   Generation next;
@@ -92,11 +99,12 @@
   next.author = proposal.author;
   next.reason = proposal.reason;
   next.document = proposal.document;
-  next.at = now;
+  next.staged_at = now;
   history_.generations.push_back(std::move(next));
   history_.on_trial = history_.generations.back().number;
-  // The oldest go, but never the kept one: it is what everything falls back to.
-  for (auto it = history_.generations.begin(); history_.generations.size() > kMostListed;) {
+  // Drops the oldest generations, but never the kept one, to which the node goes back when a change is
+  // undone.
+  for (auto it = history_.generations.begin(); history_.generations.size() > kMaxGenerations;) {
     it = it->number == history_.kept ? std::next(it) : history_.generations.erase(it);
   }
   if (!proposal.file_hash.empty()) history_.seen_file = proposal.file_hash;
@@ -105,10 +113,10 @@
   effects.emplace_back(Save{});
 }
 
-void Transactions::Resume(TransactionEffects& effects) {
+void Transactions::ResumeTrial(TransactionEffects& effects) {
   resume_at_ = Micros(0);
   for (const Generation& generation : history_.generations) {
-    if (generation.result == Result::kOnTrial) history_.on_trial = generation.number;
+    if (generation.result == GenerationResult::kOnTrial) history_.on_trial = generation.number;
   }
   if (history_.on_trial == 0) return;
   ticket_ = 0;
@@ -117,7 +125,7 @@
 }
 
 void Transactions::Handle(const Saved& e, TransactionEffects& effects) {
-  if (!e.ok) effects.emplace_back(Tell{Told::kStoreFailed, history_.on_trial, history_.kept, "", ""});
+  if (!e.ok) effects.emplace_back(WriteLog{LogKind::kStoreFailed, history_.on_trial, history_.kept, "", ""});
   if (phase_ == Phase::kStaging) {
     const std::uint64_t number = history_.on_trial;
     const Generation& staged = *history_.Find(number);
@@ -126,112 +134,115 @@
       proposal.ticket = std::exchange(ticket_, 0);
       proposal.author = staged.author;
       history_.on_trial = 0;
-      std::erase_if(history_.generations, [&](const Generation& g) { return g.number == number; });
+      std::erase_if(history_.generations,
+                    [&](const Generation& generation) { return generation.number == number; });
       phase_ = Phase::kIdle;
-      Refuse(proposal, "the state folder does not take it: nothing was applied", effects);
-      return Next(effects);
+      Refuse(proposal, "it can't be saved in the state folder: nothing was applied", effects);
+      return RecheckNextQueued(effects);
     }
     phase_ = Phase::kApplying;
     effects.emplace_back(Apply{number, staged.document, false});
   } else if (phase_ == Phase::kKeeping) {
     Generation& generation = *history_.Find(history_.kept);
-    if (!e.ok) {  // in force, but the next start would not know: tried again
-      generation.result = Result::kOnTrial;
-      history_.on_trial = std::exchange(history_.kept, kept_before_);
+    // The generation is in force, but the next process would not know that it is kept: the save is repeated.
+    if (!e.ok) {
+      generation.result = GenerationResult::kOnTrial;
+      history_.on_trial = std::exchange(history_.kept, previously_kept_);
       phase_ = Phase::kTrial;
-      trial_ends_ = now_ + kSaveAgain;
+      trial_ends_ = now_ + kSaveRetryDelay;
       effects.emplace_back(ArmTimer{trial_ends_});
       return;
     }
     phase_ = Phase::kIdle;
-    effects.emplace_back(
-        Tell{Told::kKept, generation.number, generation.number, generation.author, generation.why});
-    Next(effects);
+    effects.emplace_back(WriteLog{LogKind::kKept, generation.number, generation.number, generation.author,
+                                  generation.result_reason});
+    RecheckNextQueued(effects);
   }
 }
 
 void Transactions::Handle(const Applied& e, TransactionEffects& effects) {
-  if (phase_ != Phase::kApplying) return;  // an undo, which has nothing to wait for
+  if (phase_ != Phase::kApplying) return;  // the answer to an undo, after which nothing is left to do
   Generation& generation = *history_.Find(history_.on_trial);
   const std::uint64_t ticket = std::exchange(ticket_, 0);
-  if (!e.trouble.empty()) {
-    generation.result = Result::kUndone;
-    generation.why = "it could not be applied: " + e.trouble;
+  if (!e.error.empty()) {
+    generation.result = GenerationResult::kUndone;
+    generation.result_reason = "it could not be applied: " + e.error;
     history_.on_trial = 0;
     phase_ = Phase::kIdle;
-    if (ticket != 0) effects.emplace_back(Answer{ticket, false, generation.number, generation.why});
-    effects.emplace_back(
-        Tell{Told::kUndone, generation.number, history_.kept, generation.author, generation.why});
+    if (ticket != 0) effects.emplace_back(Answer{ticket, false, generation.number, generation.result_reason});
+    effects.emplace_back(WriteLog{LogKind::kUndone, generation.number, history_.kept, generation.author,
+                                  generation.result_reason});
     effects.emplace_back(Save{});
-    return Next(effects);
+    return RecheckNextQueued(effects);
   }
   phase_ = Phase::kTrial;
   trial_ends_ = now_ + rules_.trial;
-  kept_why_.clear();
+  kept_reason_.clear();
   effects.emplace_back(BeginTrial{});
   effects.emplace_back(ArmTimer{trial_ends_});
   effects.emplace_back(
-      Tell{Told::kOnTrial, generation.number, history_.kept, generation.author, generation.reason});
+      WriteLog{LogKind::kOnTrial, generation.number, history_.kept, generation.author, generation.reason});
   if (ticket != 0) effects.emplace_back(Answer{ticket, true, generation.number, "in force, on trial"});
 }
 
-void Transactions::Handle(const GuardSaid& e, TransactionEffects& effects) {
-  if (phase_ != Phase::kTrial || !kept_why_.empty()) return;
-  if (e.burst) return Undo(e.why, effects);
-  if (!e.ended) return;
-  kept_why_ = e.why.empty() ? "the trial ended" : e.why;
+void Transactions::Handle(const GuardReported& e, TransactionEffects& effects) {
+  if (phase_ != Phase::kTrial || !kept_reason_.empty()) return;
+  if (e.regression) return Undo(e.reason, effects);
+  if (!e.trial_ended) return;
+  kept_reason_ = e.reason.empty() ? "the trial ended" : e.reason;
   Keep(effects);
 }
 
 void Transactions::Keep(TransactionEffects& effects) {
   Generation& generation = *history_.Find(history_.on_trial);
-  generation.result = Result::kKept;
-  generation.why = kept_why_;
-  kept_before_ = std::exchange(history_.kept, std::exchange(history_.on_trial, 0));
+  generation.result = GenerationResult::kKept;
+  generation.result_reason = kept_reason_;
+  previously_kept_ = std::exchange(history_.kept, std::exchange(history_.on_trial, 0));
   phase_ = Phase::kKeeping;
   effects.emplace_back(Save{});
 }
 
-void Transactions::Undo(const std::string& why, TransactionEffects& effects) {
+void Transactions::Undo(const std::string& reason, TransactionEffects& effects) {
   Generation& generation = *history_.Find(history_.on_trial);
   const Generation* kept = history_.Find(history_.kept);
-  generation.result = Result::kUndone;
-  generation.why = why;
+  generation.result = GenerationResult::kUndone;
+  generation.result_reason = reason;
   history_.on_trial = 0;
   phase_ = Phase::kIdle;
   effects.emplace_back(CancelTrial{});
   effects.emplace_back(Apply{history_.kept, kept == nullptr ? std::string() : kept->document, true});
-  effects.emplace_back(Tell{Told::kUndone, generation.number, history_.kept, generation.author, why});
+  effects.emplace_back(
+      WriteLog{LogKind::kUndone, generation.number, history_.kept, generation.author, reason});
   effects.emplace_back(Save{});
-  Next(effects);
+  RecheckNextQueued(effects);
 }
 
-void Transactions::Handle(const Due& e, TransactionEffects& effects) {
+void Transactions::Handle(const TimerFired& e, TransactionEffects& effects) {
   now_ = e.now;
   if (phase_ == Phase::kTrial && now_ >= trial_ends_) {
-    kept_why_.empty() ? static_cast<void>(effects.emplace_back(EndTrial{})) : Keep(effects);
+    kept_reason_.empty() ? static_cast<void>(effects.emplace_back(EndTrial{})) : Keep(effects);
   } else if (phase_ == Phase::kIdle && !stopping_ && resume_at_ > Micros(0) && now_ >= resume_at_) {
-    Resume(effects);
-  } else if (phase_ == Phase::kTrial) {  // a timer may be early by a part of its unit
+    ResumeTrial(effects);
+  } else if (phase_ == Phase::kTrial) {  // a timer may fire early by less than its resolution
     effects.emplace_back(ArmTimer{trial_ends_});
   } else if (phase_ == Phase::kIdle && !stopping_ && resume_at_ > Micros(0)) {
     effects.emplace_back(ArmTimer{resume_at_});
   }
 }
 
-void Transactions::Handle(const StopAsked&, TransactionEffects& effects) {
+void Transactions::Handle(const StopRequested&, TransactionEffects& effects) {
   if (std::exchange(stopping_, true)) return;
   for (const Proposal& proposal : std::exchange(queue_, {}))
     Refuse(proposal, "the node is stopping", effects);
-  history_.stopped = true;  // a trial that a planned stop cuts off is no sign against it
+  history_.planned_stop = true;  // a trial that a planned stop interrupts does not count as a crash
   if (!history_.generations.empty()) effects.emplace_back(Save{});
 }
 
-void Transactions::Next(TransactionEffects& effects) {
+void Transactions::RecheckNextQueued(TransactionEffects& effects) {
   if (queue_.empty()) return;
   Proposal proposal = std::move(queue_.front());
   queue_.pop_front();
-  effects.emplace_back(Check{std::move(proposal)});
+  effects.emplace_back(Recheck{std::move(proposal)});
 }
 
 }  // namespace indigosaddle::config
--- a/src/config/transaction_rollback.cpp
+++ b/src/config/transaction_rollback.cpp
@@ -1,4 +1,5 @@
-// Going back to an earlier generation: a proposal like any other, with that one's document.
+// Goes back to an earlier generation. During a trial, going back to the kept generation undoes the trial;
+// otherwise it is a proposal like any other, with the document of the earlier generation.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -7,37 +8,37 @@
 
 namespace indigosaddle::config {
 
-void Transactions::Handle(const RollbackAsked& e, TransactionEffects& effects) {
+void Transactions::Handle(const RollbackRequested& e, TransactionEffects& effects) {
   now_ = e.now;
   Proposal proposal;
   proposal.ticket = e.ticket;
   proposal.author = e.author;
-  if (phase_ == Phase::kTrial && kept_why_.empty() && (e.number == 0 || e.number == history_.kept)) {
+  if (phase_ == Phase::kTrial && kept_reason_.empty() && (e.number == 0 || e.number == history_.kept)) {
     const std::uint64_t number = history_.on_trial;
     Undo("asked for by " + e.author + (e.reason.empty() ? "" : ": " + e.reason), effects);
     if (e.ticket != 0)
-      effects.emplace_back(Answer{e.ticket, true, history_.kept, Numbered(number) + " is undone"});
+      effects.emplace_back(Answer{e.ticket, true, history_.kept, GenerationLabel(number) + " is undone"});
     return;
   }
   if (phase_ != Phase::kIdle) {
-    return Refuse(proposal, Numbered(history_.on_trial) + " is on trial: undo it first", effects);
+    return Refuse(proposal, GenerationLabel(history_.on_trial) + " is on trial: undo it first", effects);
   }
   const Generation* target = nullptr;
   for (const Generation& generation : history_.generations) {
-    const bool wanted = e.number == 0
-                            ? generation.result == Result::kKept && generation.number < history_.kept
-                            : generation.number == e.number;
+    const bool wanted =
+        e.number == 0 ? generation.result == GenerationResult::kKept && generation.number < history_.kept
+                      : generation.number == e.number;
     if (wanted) target = &generation;
   }
   if (target == nullptr || target->document.empty()) {
     return Refuse(proposal,
                   e.number == 0 ? "no generation before is kept in the state folder"
-                                : Numbered(e.number) + " is not kept in the state folder",
+                                : GenerationLabel(e.number) + " is not kept in the state folder",
                   effects);
   }
-  proposal.reason = "back to " + Numbered(target->number) + (e.reason.empty() ? "" : ": " + e.reason);
+  proposal.reason = "back to " + GenerationLabel(target->number) + (e.reason.empty() ? "" : ": " + e.reason);
   proposal.document = target->document;
-  effects.emplace_back(Check{std::move(proposal)});
+  effects.emplace_back(Recheck{std::move(proposal)});
 }
 
 }  // namespace indigosaddle::config
--- a/src/node/beginning.cpp
+++ b/src/node/beginning.cpp
@@ -50,7 +50,7 @@
   config::Store(folder, 0).Load(saved, damaged, true);
   if (!unusable.empty() && saved.kept == 0) throw ConfigError(unusable);
   const std::string file = b.sources.operators.text;
-  b.history = config::StartWith(
+  b.history = config::HistoryAtStart(
       std::move(saved), file, config::Hash(file), unusable.empty(),
       std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch()));
   const config::Generation& kept = *b.history.Find(b.history.kept);
--- a/src/node/changes.cpp
+++ b/src/node/changes.cpp
@@ -32,7 +32,7 @@
       guard_(beginning.config.change),
       first_history_(std::move(beginning.history)),
       first_trouble_(std::move(beginning.trouble)),
-      due_(loop, [this] { Feed(config::Due{loop_.Now()}); }),
+      due_(loop, [this] { Feed(config::TimerFired{loop_.Now()}); }),
       look_(loop, [this] { Look(); }) {
   if (sources_.operators.given) {
     store_ =
@@ -53,7 +53,7 @@
   if (sources_.platform.given) last_good_.Keep(sources_.platform.text, MostLastGood(owner_.running()));
 }
 
-void Changes::Stop() { Feed(config::StopAsked{}); }
+void Changes::Stop() { Feed(config::StopRequested{}); }
 
 void Changes::Freeze() { due_.Stop(), look_.Stop(); }
 
@@ -156,7 +156,7 @@
   events_.emplace_back(config::Applied{trouble});
 }
 
-void Changes::Do(const config::Check& e) {
+void Changes::Do(const config::Recheck& e) {
   events_.emplace_back(config::Rechecked{Judged(e.proposal), loop_.Now()});
 }
 
@@ -168,7 +168,8 @@
   look_.Stop();
   step_("config.keep");
   const config::Assessment last = guard_.End(loop_.Now());
-  events_.emplace_back(config::GuardSaid{last.verdict == config::Verdict::kRegression, true, last.reason});
+  events_.emplace_back(
+      config::GuardReported{last.verdict == config::Verdict::kRegression, true, last.reason});
 }
 
 void Changes::Do(const config::CancelTrial&) {
@@ -178,7 +179,8 @@
 
 void Changes::Look() {
   const config::Assessment now = guard_.Look(loop_.Now());
-  if (now.verdict == config::Verdict::kRegression) return Feed(config::GuardSaid{true, false, now.reason});
+  if (now.verdict == config::Verdict::kRegression)
+    return Feed(config::GuardReported{true, false, now.reason});
   if (guard_.in_trial()) look_.Start(owner_.running().change.trial / config::Guard::kMaxLooks);
 }
 
@@ -189,13 +191,13 @@
   if (!node.empty()) node.mapped()({{"ok", e.ok}, {"generation", e.number}, {"text", e.text}});
 }
 
-void Changes::Do(const config::Tell& e) {
-  using enum config::Told;
+void Changes::Do(const config::WriteLog& e) {
+  using enum config::LogKind;
   // The rules of a trial come from the configuration that it put in force; a trial's own guard keeps those it
   // began with.
   transactions_.SetRules(RulesOf(owner_.running()));
   guard_.SetRules(owner_.running().change);
-  switch (e.told) {
+  switch (e.kind) {
     case kRefused: return log_.Write(base::kConfigRefused, e.author, e.text);
     case kOnTrial:
       return log_.Write(base::kConfigOnTrial, e.number, e.author, e.text, owner_.running().change.trial);
--- a/src/node/changes.h
+++ b/src/node/changes.h
@@ -56,13 +56,13 @@
   void Feed(config::TransactionEvent event);
   void Do(const config::Save&);
   void Do(const config::Apply& e);
-  void Do(const config::Check& e);
+  void Do(const config::Recheck& e);
   void Do(const config::BeginTrial&);
   void Do(const config::EndTrial&);
   void Do(const config::CancelTrial&);
   void Do(const config::ArmTimer& e);
   void Do(const config::Answer& e);
-  void Do(const config::Tell& e);
+  void Do(const config::WriteLog& e);
 
   // Judges a document against what runs now; nothing where it may not be applied.
   std::optional<Config> Judge(const std::string& document, std::vector<std::string>& faults, bool undo) const;
--- a/src/node/changes_requests.cpp
+++ b/src/node/changes_requests.cpp
@@ -50,14 +50,14 @@
     proposal.author = Ask(request, "author").substr(0, 64);
     proposal.reason = Ask(request, "reason").substr(0, 256);
     proposal.document = Ask(request, "document");
-    proposal.wait = request.value("wait", json(false)) == json(true);
+    proposal.queue_if_busy = request.value("wait", json(false)) == json(true);
     Feed(config::Proposed{Judged(std::move(proposal)), loop_.Now()});
   } else if (op == "rollback") {
-    Feed(config::RollbackAsked{Ticket(answer), request.value("generation", std::uint64_t{0}),
-                               Ask(request, "author").substr(0, 64), Ask(request, "reason").substr(0, 256),
-                               loop_.Now()});
+    Feed(config::RollbackRequested{Ticket(answer), request.value("generation", std::uint64_t{0}),
+                                   Ask(request, "author").substr(0, 64),
+                                   Ask(request, "reason").substr(0, 256), loop_.Now()});
   } else if (op == "history") {
-    answer({{"ok", true}, {"generations", config::ListOf(transactions_.history())}});
+    answer({{"ok", true}, {"generations", config::HistoryAsJson(transactions_.history())}});
   } else if (op == "show") {
     json all = json::array();
     for (const config::Shown& shown : owner_.running().shown) {
--- a/src/node/shares.cpp
+++ b/src/node/shares.cpp
@@ -50,7 +50,7 @@
 
 std::size_t JournalRoom(const Config& config, bool shared) {
   const std::size_t all = config.disk_bytes - SmallFilesRoom(config) -
-                          (config.has_operators_file ? config::StoreRoom(config.disk_bytes) : 0);
+                          (config.has_operators_file ? config::MaxStoreBytes(config.disk_bytes) : 0);
   return shared ? all / 2 : all;
 }
 
--- a/tests/config/transaction_test.cpp
+++ b/tests/config/transaction_test.cpp
@@ -1,5 +1,5 @@
-// The transactions of the configuration, driven by random histories with a kill at any effect, against a
-// plain model.
+// The transactions of the configuration: single cases, and random sequences of events with a kill at any
+// effect, checked against the invariants that transaction.h lists.
 #include "config/transaction.h"
 
 #include <gtest/gtest.h>
@@ -14,228 +14,231 @@
 
 using std::chrono::seconds;
 
-// Carries out effects as the node does: a disk that holds the last saved history, and the document in force.
-class World {
+// Carries out effects as the node does. Holds the last saved history and the document in force.
+class SimulatedNode {
  public:
-  World() { Start(); }
+  SimulatedNode() { Start(); }
 
   void Start() {
-    machine.emplace(TransactionRules{seconds(10), seconds(5)});
-    disk = StartWith(disk, "first", "hash", true, now);
-    in_force = disk.Find(disk.kept)->document;
-    dead = trial = false;
-    Feed(Started{disk, now});
+    transactions.emplace(TransactionRules{seconds(10), seconds(5)});
+    saved = HistoryAtStart(saved, "first", "hash", true, now);
+    in_force = saved.Find(saved.kept)->document;
+    killed = in_trial = false;
+    Feed(Started{saved, now});
   }
 
   // Ends the process after `effects` more effects.
-  void KillAfter(int effects) { left = effects; }
+  void KillAfter(int effects) { effects_until_kill = effects; }
 
   void Feed(TransactionEvent event) {
     std::deque<TransactionEvent> events = {std::move(event)};
-    while (!events.empty() && !dead) {
+    while (!events.empty() && !killed) {
       TransactionEffects effects;
-      machine->On(events.front(), effects);
+      transactions->On(events.front(), effects);
       events.pop_front();
       for (const TransactionEffect& effect : effects) {
-        if (left >= 0 && left-- == 0) {
-          dead = true;
+        if (effects_until_kill >= 0 && effects_until_kill-- == 0) {
+          killed = true;
           return;
         }
-        Carry(effect, events);
+        CarryOut(effect, events);
       }
     }
-    if (!dead) CheckInvariants();
+    if (!killed) CheckInvariants();
   }
 
-  void Carry(const TransactionEffect& effect, std::deque<TransactionEvent>& events) {
+  void CarryOut(const TransactionEffect& effect, std::deque<TransactionEvent>& events) {
     if (std::holds_alternative<Save>(effect)) {
-      if (disk_works) disk = machine->history();
-      events.emplace_back(Saved{disk_works});
+      if (save_works) saved = transactions->history();
+      events.emplace_back(Saved{save_works});
     } else if (const auto* apply = std::get_if<Apply>(&effect)) {
       if (!apply->undo) {
-        // Saved as on trial before it is applied, and never as kept.
-        RC_ASSERT(disk.on_trial == apply->number);
-        RC_ASSERT(disk.kept != apply->number);
+        // A generation is saved as on trial before it is applied, and not as kept.
+        RC_ASSERT(saved.on_trial == apply->number);
+        RC_ASSERT(saved.kept != apply->number);
       }
       in_force = apply->document;
-      events.emplace_back(Applied{refuse_apply && !apply->undo ? "held" : ""});
-      if (refuse_apply && !apply->undo) in_force = disk.Find(disk.kept)->document;
-    } else if (const auto* check = std::get_if<Check>(&effect)) {
-      events.emplace_back(Rechecked{check->proposal, now});
+      events.emplace_back(Applied{apply_fails && !apply->undo ? "held" : ""});
+      if (apply_fails && !apply->undo) in_force = saved.Find(saved.kept)->document;
+    } else if (const auto* recheck = std::get_if<Recheck>(&effect)) {
+      events.emplace_back(Rechecked{recheck->proposal, now});
     } else if (std::holds_alternative<BeginTrial>(effect)) {
-      trial = true;
+      in_trial = true;
     } else if (std::holds_alternative<CancelTrial>(effect)) {
-      trial = false;
+      in_trial = false;
     } else if (std::holds_alternative<EndTrial>(effect)) {
-      trial = false;
-      events.emplace_back(GuardSaid{burst_at_end, true, "the end"});
+      in_trial = false;
+      events.emplace_back(GuardReported{regression_at_end, true, "the end"});
     } else if (const auto* timer = std::get_if<ArmTimer>(&effect)) {
-      due = timer->at;
+      timer_at = timer->at;
     } else if (const auto* answer = std::get_if<Answer>(&effect)) {
       ++answers[answer->ticket];
     }
   }
 
   void CheckInvariants() const {
-    const History& history = machine->history();
-    RC_ASSERT(history.generations.size() <= kMostListed);
+    const History& history = transactions->history();
+    RC_ASSERT(history.generations.size() <= kMaxGenerations);
     const Generation* kept = history.Find(history.kept);
     RC_ASSERT(kept != nullptr);
-    RC_ASSERT(kept->result == Result::kKept);
+    RC_ASSERT(kept->result == GenerationResult::kKept);
     if (history.on_trial != 0) {
-      RC_ASSERT(history.Find(history.on_trial)->result == Result::kOnTrial);
+      RC_ASSERT(history.Find(history.on_trial)->result == GenerationResult::kOnTrial);
     }
-    const Generation* runs = machine->on_trial() ? history.Find(history.on_trial) : kept;
-    RC_ASSERT(runs->document == in_force);
+    const Generation* running = transactions->on_trial() ? history.Find(history.on_trial) : kept;
+    RC_ASSERT(running->document == in_force);
   }
 
-  Micros now{seconds(1000)}, due{0};
-  std::optional<Transactions> machine;
-  History disk;
+  Micros now{seconds(1000)}, timer_at{0};
+  std::optional<Transactions> transactions;
+  History saved;
   std::string in_force;
   std::map<std::uint64_t, int> answers;
-  bool dead = false, trial = false, disk_works = true, refuse_apply = false, burst_at_end = false;
-  int left = -1;
+  bool killed = false, in_trial = false, save_works = true, apply_fails = false, regression_at_end = false;
+  int effects_until_kill = -1;
 };
 
-Proposal Change(std::uint64_t ticket, const std::string& document, bool wait = false) {
+Proposal MakeProposal(std::uint64_t ticket, const std::string& document, bool queue_if_busy = false) {
   Proposal proposal;
   proposal.ticket = ticket;
   proposal.author = "test";
   proposal.document = document;
-  proposal.wait = wait;
+  proposal.queue_if_busy = queue_if_busy;
   return proposal;
 }
 
 TEST(Transactions, AGoodChangeIsKeptAfterItsTrial) {
-  World world;
-  world.Feed(Proposed{Change(1, "second"), world.now});
-  EXPECT_EQ(world.in_force, "second");
-  EXPECT_EQ(world.answers[1], 1);
-  EXPECT_EQ(world.disk.Find(world.disk.kept)->document, "first");
-  world.now = world.due;
-  world.Feed(Due{world.now});
-  EXPECT_EQ(world.disk.Find(world.disk.kept)->document, "second");
-  world.Feed(RollbackAsked{2, 0, "test", "", world.now});  // to the one kept before, as a change of its own
-  EXPECT_EQ(world.in_force, "first");
-  EXPECT_TRUE(world.machine->on_trial());
+  SimulatedNode node;
+  node.Feed(Proposed{MakeProposal(1, "second"), node.now});
+  EXPECT_EQ(node.in_force, "second");
+  EXPECT_EQ(node.answers[1], 1);
+  EXPECT_EQ(node.saved.Find(node.saved.kept)->document, "first");
+  node.now = node.timer_at;
+  node.Feed(TimerFired{node.now});
+  EXPECT_EQ(node.saved.Find(node.saved.kept)->document, "second");
+  // A rollback goes back to the generation that was kept before, with a trial of its own.
+  node.Feed(RollbackRequested{2, 0, "test", "", node.now});
+  EXPECT_EQ(node.in_force, "first");
+  EXPECT_TRUE(node.transactions->on_trial());
 }
 
-TEST(Transactions, ABurstUndoesAtOnce) {
-  World world;
-  world.Feed(Proposed{Change(1, "second"), world.now});
-  world.Feed(GuardSaid{true, false, "a burst"});
-  EXPECT_EQ(world.in_force, "first");
-  EXPECT_FALSE(world.trial);
-  EXPECT_EQ(world.disk.generations.back().result, Result::kUndone);
-  EXPECT_EQ(world.disk.generations.back().why, "a burst");
+TEST(Transactions, ARegressionUndoesTheChangeAtOnce) {
+  SimulatedNode node;
+  node.Feed(Proposed{MakeProposal(1, "second"), node.now});
+  node.Feed(GuardReported{true, false, "a burst"});
+  EXPECT_EQ(node.in_force, "first");
+  EXPECT_FALSE(node.in_trial);
+  EXPECT_EQ(node.saved.generations.back().result, GenerationResult::kUndone);
+  EXPECT_EQ(node.saved.generations.back().result_reason, "a burst");
 }
 
 TEST(Transactions, ASecondChangeDuringATrialIsRefusedOrQueued) {
-  World world;
-  world.Feed(Proposed{Change(1, "second"), world.now});
-  world.Feed(Proposed{Change(2, "third"), world.now});
-  EXPECT_EQ(world.answers[2], 1);
-  for (std::uint64_t ticket = 3; ticket < 3 + kMostQueued + 1; ++ticket) {
-    world.Feed(Proposed{Change(ticket, "queued " + std::to_string(ticket), true), world.now});
+  SimulatedNode node;
+  node.Feed(Proposed{MakeProposal(1, "second"), node.now});
+  node.Feed(Proposed{MakeProposal(2, "third"), node.now});
+  EXPECT_EQ(node.answers[2], 1);
+  for (std::uint64_t ticket = 3; ticket < 3 + kMaxQueuedProposals + 1; ++ticket) {
+    node.Feed(Proposed{MakeProposal(ticket, "queued " + std::to_string(ticket), true), node.now});
   }
-  EXPECT_EQ(world.answers[3 + kMostQueued], 1);  // the queue has a bound
-  EXPECT_EQ(world.answers[3], 0);
-  EXPECT_EQ(world.in_force, "second");
-  world.now = world.due;
-  world.Feed(Due{world.now});
-  EXPECT_EQ(world.in_force, "queued 3");
-  EXPECT_EQ(world.answers[3], 1);
-  world.Feed(StopAsked{});
-  EXPECT_EQ(world.answers[4], 1);  // what waited hears of the stop
+  EXPECT_EQ(node.answers[3 + kMaxQueuedProposals], 1);  // the queue is full
+  EXPECT_EQ(node.answers[3], 0);
+  EXPECT_EQ(node.in_force, "second");
+  node.now = node.timer_at;
+  node.Feed(TimerFired{node.now});
+  EXPECT_EQ(node.in_force, "queued 3");
+  EXPECT_EQ(node.answers[3], 1);
+  node.Feed(StopRequested{});
+  EXPECT_EQ(node.answers[4], 1);  // a queued proposal is refused at a stop
 }
 
-TEST(Transactions, WhatTheDiskDoesNotTakeIsNotApplied) {
-  World world;
-  world.disk_works = false;
-  world.Feed(Proposed{Change(1, "second"), world.now});
-  EXPECT_EQ(world.in_force, "first");
-  EXPECT_EQ(world.answers[1], 1);
-  EXPECT_FALSE(world.machine->on_trial());
-  world.disk_works = true;
-  world.Feed(Proposed{Change(2, "third"), world.now});
-  world.disk_works = false;  // now the keeping can't be saved: it stays in force and is saved later
-  world.now = world.due;
-  world.Feed(Due{world.now});
-  EXPECT_EQ(world.in_force, "third");
-  EXPECT_EQ(world.disk.Find(world.disk.kept)->document, "first");
-  world.disk_works = true;
-  world.now = world.due;
-  world.Feed(Due{world.now});
-  EXPECT_EQ(world.disk.Find(world.disk.kept)->document, "third");
+TEST(Transactions, AChangeThatCannotBeSavedIsNotApplied) {
+  SimulatedNode node;
+  node.save_works = false;
+  node.Feed(Proposed{MakeProposal(1, "second"), node.now});
+  EXPECT_EQ(node.in_force, "first");
+  EXPECT_EQ(node.answers[1], 1);
+  EXPECT_FALSE(node.transactions->on_trial());
+  node.save_works = true;
+  node.Feed(Proposed{MakeProposal(2, "third"), node.now});
+  node.save_works = false;  // now it can't be saved as kept: it stays in force and is saved later
+  node.now = node.timer_at;
+  node.Feed(TimerFired{node.now});
+  EXPECT_EQ(node.in_force, "third");
+  EXPECT_EQ(node.saved.Find(node.saved.kept)->document, "first");
+  node.save_works = true;
+  node.now = node.timer_at;
+  node.Feed(TimerFired{node.now});
+  EXPECT_EQ(node.saved.Find(node.saved.kept)->document, "third");
 }
 
-TEST(Transactions, ADeathInTheTrialIsForgivenOnceAndAPlannedStopAlways) {
-  World world;
-  world.Feed(Proposed{Change(1, "second"), world.now});
-  world.Feed(StopAsked{});
-  world.Start();
-  EXPECT_EQ(world.in_force, "first");
-  const auto again = [&] {
-    world.now = world.due;
-    world.Feed(Due{world.now});
+TEST(Transactions, AnInterruptedTrialIsResumedAfterOneCrashOrAnyPlannedStop) {
+  SimulatedNode node;
+  node.Feed(Proposed{MakeProposal(1, "second"), node.now});
+  node.Feed(StopRequested{});
+  node.Start();
+  EXPECT_EQ(node.in_force, "first");
+  const auto resume_trial = [&] {
+    node.now = node.timer_at;
+    node.Feed(TimerFired{node.now});
   };
-  again();
-  EXPECT_EQ(world.in_force, "second");
-  EXPECT_EQ(world.disk.generations.back().deaths, 0);
-  world.Start();  // killed
-  again();
-  EXPECT_EQ(world.in_force, "second");
-  world.Start();  // killed again
-  EXPECT_EQ(world.in_force, "first");
-  EXPECT_EQ(world.disk.generations.back().result, Result::kUndone);
-  world.now += seconds(1000);
-  world.Feed(Due{world.now});
-  EXPECT_EQ(world.in_force, "first");
+  resume_trial();
+  EXPECT_EQ(node.in_force, "second");
+  EXPECT_EQ(node.saved.generations.back().crashes_on_trial, 0);
+  node.Start();  // killed
+  resume_trial();
+  EXPECT_EQ(node.in_force, "second");
+  node.Start();  // killed again
+  EXPECT_EQ(node.in_force, "first");
+  EXPECT_EQ(node.saved.generations.back().result, GenerationResult::kUndone);
+  node.now += seconds(1000);
+  node.Feed(TimerFired{node.now});
+  EXPECT_EQ(node.in_force, "first");
 }
 
-TEST(Transactions, AStartTakesTheFileOnlyIfItIsNewAndCanBeUsed) {
-  const History one = StartWith({}, "first", "h1", true, seconds(1));
+TEST(Transactions, AStartAdoptsTheFileOnlyIfItIsNewAndUsable) {
+  const History one = HistoryAtStart({}, "first", "h1", true, seconds(1));
   EXPECT_EQ(one.Find(one.kept)->document, "first");
-  EXPECT_EQ(StartWith(one, "first", "h1", true, seconds(2)).generations.size(), 1u);
-  EXPECT_EQ(StartWith(one, "bad", "h2", false, seconds(2)).Find(one.kept)->document, "first");
-  const History two = StartWith(one, "second", "h2", true, seconds(2));
+  EXPECT_EQ(HistoryAtStart(one, "first", "h1", true, seconds(2)).generations.size(), 1u);
+  EXPECT_EQ(HistoryAtStart(one, "bad", "h2", false, seconds(2)).Find(one.kept)->document, "first");
+  const History two = HistoryAtStart(one, "second", "h2", true, seconds(2));
   EXPECT_EQ(two.Find(two.kept)->document, "second");
   EXPECT_EQ(two.kept, 2u);
 }
 
-RC_GTEST_PROP(Transactions, AnyHistoryWithKillsAnywhereKeepsItsInvariants, ()) {
-  World world;
+RC_GTEST_PROP(Transactions, AnySequenceWithKillsAnywhereKeepsTheInvariants, ()) {
+  SimulatedNode node;
   std::uint64_t ticket = 0;
   for (int step = *rc::gen::inRange(1, 40); step > 0; --step) {
-    world.now += seconds(*rc::gen::inRange(0, 8));
-    if (*rc::gen::inRange(0, 6) == 0) world.KillAfter(*rc::gen::inRange(0, 6));
-    world.disk_works = *rc::gen::inRange(0, 8) != 0;
-    world.refuse_apply = *rc::gen::inRange(0, 8) == 0;
-    world.burst_at_end = *rc::gen::inRange(0, 4) == 0;
+    node.now += seconds(*rc::gen::inRange(0, 8));
+    if (*rc::gen::inRange(0, 6) == 0) node.KillAfter(*rc::gen::inRange(0, 6));
+    node.save_works = *rc::gen::inRange(0, 8) != 0;
+    node.apply_fails = *rc::gen::inRange(0, 8) == 0;
+    node.regression_at_end = *rc::gen::inRange(0, 4) == 0;
     switch (*rc::gen::inRange(0, 6)) {
       case 0:
       case 1: {
         ++ticket;
-        Proposal proposal = Change(ticket, "doc " + std::to_string(ticket), *rc::gen::arbitrary<bool>());
+        Proposal proposal =
+            MakeProposal(ticket, "doc " + std::to_string(ticket), *rc::gen::arbitrary<bool>());
         if (*rc::gen::inRange(0, 4) == 0) proposal.faults = {"bad"};
         proposal.no_change = *rc::gen::inRange(0, 6) == 0;
-        world.Feed(Proposed{proposal, world.now});
+        node.Feed(Proposed{proposal, node.now});
         break;
       }
-      case 2: world.Feed(GuardSaid{*rc::gen::arbitrary<bool>(), false, "looked"}); break;
-      case 3: world.Feed(Due{std::max(world.now, world.due)}); break;
-      case 4: world.Feed(RollbackAsked{++ticket, 0, "test", "", world.now}); break;
-      default: world.Feed(StopAsked{}); break;
+      case 2: node.Feed(GuardReported{*rc::gen::arbitrary<bool>(), false, "looked"}); break;
+      case 3: node.Feed(TimerFired{std::max(node.now, node.timer_at)}); break;
+      case 4: node.Feed(RollbackRequested{++ticket, 0, "test", "", node.now}); break;
+      default: node.Feed(StopRequested{}); break;
     }
-    for (const auto& [number, count] : world.answers) RC_ASSERT(count <= 1);
+    for (const auto& [number, count] : node.answers) RC_ASSERT(count <= 1);
     const bool stop = *rc::gen::inRange(0, 10) == 0;
-    if (world.dead || stop) {  // the disk is whole at any step: the next start is on its last kept generation
-      const std::string kept = world.disk.Find(world.disk.kept)->document;
-      world.left = -1;
-      world.disk_works = true;
-      world.Start();
-      RC_ASSERT(world.in_force == kept);
+    // The saved state is complete at any step: the next process serves its kept generation.
+    if (node.killed || stop) {
+      const std::string kept = node.saved.Find(node.saved.kept)->document;
+      node.effects_until_kill = -1;
+      node.save_works = true;
+      node.Start();
+      RC_ASSERT(node.in_force == kept);
     }
   }
 }
