--- a/src/cli/config_diff.cpp
+++ b/src/cli/config_diff.cpp
@@ -20,8 +20,8 @@
   options->target.AddTo(*command);
   command->add_flag("--json", options->json, "As JSON");
   command->callback([options] {
-    const std::vector<config::Shown> after = ConfigOf(options->file).shown;
-    std::vector<config::Shown> before;
+    const std::vector<config::ShownValue> after = ConfigOf(options->file).shown;
+    std::vector<config::ShownValue> before;
     if (!options->against.empty()) {
       before = ConfigOf(options->against).shown;
     } else {
@@ -29,14 +29,15 @@
       if (target.socket.empty() && target.file.empty()) target.file = options->file;
       const nlohmann::json running = Ask(target.Path(), {{"op", "show"}});
       for (const auto& one : running.at("values")) {
-        before.push_back({one.at("path"), one.at("value"), one.at("from"), config::Change::kRunning});
+        before.push_back(
+            {one.at("path"), one.at("value"), one.at("from"), config::TakesEffect::kWhileRunning});
       }
     }
     nlohmann::json all = nlohmann::json::array();
     for (const config::Difference& d : config::Differences(before, after)) {
-      const config::Item* item = config::Find(d.path);
-      const bool restart =
-          item != nullptr ? item->change == config::Change::kRestart : d.change == config::Change::kRestart;
+      const config::Setting* item = config::FindSetting(d.path);
+      const bool restart = item != nullptr ? item->takes_effect == config::TakesEffect::kAtRestart
+                                           : d.takes_effect == config::TakesEffect::kAtRestart;
       if (options->json) {
         all.push_back({{"path", d.path}, {"before", d.before}, {"after", d.after}, {"restart", restart}});
       } else {
--- a/src/cli/config_show.cpp
+++ b/src/cli/config_show.cpp
@@ -27,8 +27,8 @@
       values = Ask(options->target.Path(), {{"op", "show"}}).at("values");
     } else {
       const std::string file = options->file.empty() ? options->target.file : options->file;
-      for (const config::Shown& shown : ConfigOf(file).shown) {
-        values.push_back({{"path", shown.path}, {"value", shown.value}, {"from", shown.from}});
+      for (const config::ShownValue& shown : ConfigOf(file).shown) {
+        values.push_back({{"path", shown.path}, {"value", shown.value}, {"from", shown.source}});
       }
     }
     if (options->json) return fmt::print("{}\n", values.dump(2));
--- a/src/cli/docs.cpp
+++ b/src/cli/docs.cpp
@@ -40,7 +40,7 @@
   docs->require_subcommand(1);
   docs->footer("Example:\n  indigosaddle docs configuration > docs/configuration.md");
   docs->add_subcommand("configuration", "docs/configuration.md")->callback([] {
-    fmt::print("{}", config::Page());
+    fmt::print("{}", config::ConfigurationPage());
   });
   docs->add_subcommand("logging", "docs/logging.md")->callback([] { fmt::print("{}", LoggingPage()); });
 }
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -14,10 +14,12 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMostFaults = 50;    // said at once; a file of rubbish has no end of them
-constexpr std::size_t kMostTables = 1000;  // of one list
+constexpr std::size_t kMaxFaults = 50;    // reported at once; a file of random bytes could have any number
+constexpr std::size_t kMaxTables = 1000;  // in one list
 
-Place PlaceOf(const toml::source_region& region) { return {region.begin.line, region.begin.column}; }
+SourceLocation LocationOf(const toml::source_region& region) {
+  return {region.begin.line, region.begin.column};
+}
 
 json ToJson(const toml::node& node) {
   if (const auto* value = node.as_string()) return value->get();
@@ -28,7 +30,7 @@
   return nullptr;
 }
 
-std::string KindOf(const toml::node& node) {
+std::string DescribeType(const toml::node& node) {
   switch (node.type()) {
     case toml::node_type::table: return "a table";
     case toml::node_type::array: return "a list";
@@ -40,200 +42,208 @@
   }
 }
 
-class Reader {
+// Copies the values of a TOML file into a ParsedOperatorsFile and checks each against the schema.
+class TomlReader {
  public:
-  Reader(Document& document, const std::string& file) : document_(document), file_(file) {
-    for (const Item& item : Schema()) {
-      const std::string_view path = item.path;
+  TomlReader(ParsedOperatorsFile& parsed, const std::string& file) : parsed_(parsed), file_(file) {
+    for (const Setting& setting : Schema()) {
+      const std::string_view path = setting.path;
       const std::size_t dot = path.rfind('.');
-      names_[std::string(path.substr(0, dot))].emplace_back(path.substr(dot + 1));
+      names_by_section_[std::string(path.substr(0, dot))].emplace_back(path.substr(dot + 1));
     }
   }
 
   void Read(const toml::table& root) {
     for (const auto& [key, node] : root) {
       const std::string name(key.str());
-      if (names_.contains(name)) {
+      if (names_by_section_.contains(name)) {
         if (const toml::table* table = node.as_table()) {
-          Section(*table, name, name, 0);
+          ReadSection(*table, name, name, 0);
         } else {
-          Say(node.source(), name, fmt::format("is {}; expected a table: [{}]", KindOf(node), name));
+          AddFault(node.source(), name,
+                   fmt::format("is {}; expected a table: [{}]", DescribeType(node), name));
         }
-      } else if (names_.contains(name + "[]")) {
-        List(node, name);
+      } else if (names_by_section_.contains(name + "[]")) {
+        ReadList(node, name);
       } else {
-        Unknown(key.source(), name, name, Sections());
+        AddUnknownName(key.source(), name, name, SectionNames());
       }
     }
   }
 
-  void Say(const toml::source_region& region, const std::string& path, std::string what) {
-    if (document_.faults.size() < kMostFaults) {
-      document_.faults.push_back({file_, PlaceOf(region), path, std::move(what)});
+  void AddFault(const toml::source_region& region, const std::string& path, std::string problem) {
+    if (parsed_.faults.size() < kMaxFaults) {
+      parsed_.faults.push_back({file_, LocationOf(region), path, std::move(problem)});
     }
   }
 
  private:
-  std::vector<std::string> Sections() const {
+  std::vector<std::string> SectionNames() const {
     std::vector<std::string> sections;
-    for (const auto& [name, items] : names_) {
+    for (const auto& [name, settings] : names_by_section_) {
       sections.push_back(name.ends_with("[]") ? name.substr(0, name.size() - 2) : name);
     }
     return sections;
   }
 
-  void Unknown(const toml::source_region& region, const std::string& path, std::string_view name,
-               const std::vector<std::string>& known) {
-    const std::string near = Nearest(name, known);
-    std::string all;
-    for (const std::string& one : known) all += (all.empty() ? "" : ", ") + one;
-    Say(region, path,
-        near.empty() ? fmt::format("unknown name; expected one of {}", all)
-                     : fmt::format("unknown name; did you mean \"{}\"?", near));
+  void AddUnknownName(const toml::source_region& region, const std::string& path, std::string_view name,
+                      const std::vector<std::string>& known_names) {
+    const std::string nearest = NearestName(name, known_names);
+    std::string all_names;
+    for (const std::string& known : known_names) all_names += (all_names.empty() ? "" : ", ") + known;
+    AddFault(region, path,
+             nearest.empty() ? fmt::format("unknown name; expected one of {}", all_names)
+                             : fmt::format("unknown name; did you mean \"{}\"?", nearest));
   }
 
-  void List(const toml::node& node, const std::string& name) {
+  void ReadList(const toml::node& node, const std::string& name) {
     const toml::array* list = node.as_array();
     if (list == nullptr || !list->is_homogeneous(toml::node_type::table)) {
-      return Say(node.source(), name, fmt::format("is {}; expected tables: [[{}]]", KindOf(node), name));
+      return AddFault(node.source(), name,
+                      fmt::format("is {}; expected tables: [[{}]]", DescribeType(node), name));
     }
-    if (list->size() > kMostTables) {
-      return Say(node.source(), name,
-                 fmt::format("{} tables; expected at most {}", list->size(), kMostTables));
+    if (list->size() > kMaxTables) {
+      return AddFault(node.source(), name,
+                      fmt::format("{} tables; expected at most {}", list->size(), kMaxTables));
     }
     for (std::size_t i = 0; i < list->size(); ++i) {
       const std::string path = fmt::format("{}[{}]", name, i);
       const toml::table& table = *list->get(i)->as_table();
-      Section(table, name + "[]", path, i);
-      if (!table.contains("name")) Say(table.source(), path, "has no \"name\"");
-      for (const Item& item : Schema()) {  // what a table leaves out has its default
-        const std::string_view at = item.path;
-        if (at.substr(0, at.rfind('.')) != name + "[]" || item.absent[0] == '\0') continue;
-        if (At(document_.told, item.told, i) == nullptr) Put(document_.told, item.told, i, DefaultOf(item));
+      ReadSection(table, name + "[]", path, i);
+      if (!table.contains("name")) AddFault(table.source(), path, "has no \"name\"");
+      for (const Setting& setting : Schema()) {  // settings that the table omits get their defaults
+        const std::string_view setting_path = setting.path;
+        if (setting_path.substr(0, setting_path.rfind('.')) != name + "[]" ||
+            setting.default_text[0] == '\0') {
+          continue;
+        }
+        if (ValueAt(parsed_.values, setting.platform_path, i) == nullptr)
+          SetValueAt(parsed_.values, setting.platform_path, i, DefaultOf(setting));
       }
     }
   }
 
-  void Section(const toml::table& table, const std::string& section, const std::string& path,
-               std::size_t index) {
+  void ReadSection(const toml::table& table, const std::string& section, const std::string& path,
+                   std::size_t index) {
     for (const auto& [key, node] : table) {
-      const std::string name(key.str()), full = fmt::format("{}.{}", path, name);
-      const Item* item = Find(fmt::format("{}.{}", section, name));
-      if (item == nullptr) {
-        Unknown(key.source(), full, name, names_.at(section));
+      const std::string name(key.str()), full_path = fmt::format("{}.{}", path, name);
+      const Setting* setting = FindSetting(fmt::format("{}.{}", section, name));
+      if (setting == nullptr) {
+        AddUnknownName(key.source(), full_path, name, names_by_section_.at(section));
         continue;
       }
-      const auto told = ToTold(*item, ToJson(node));
-      if (!told) {
-        std::string had = ToJson(node).is_null() ? KindOf(node) : ToJson(node).dump();
-        Say(node.source(), full, fmt::format("{}; expected {}", Excerpt(had), Expected(*item)));
+      const auto value = ToPlatformForm(*setting, ToJson(node));
+      if (!value) {
+        std::string given = ToJson(node).is_null() ? DescribeType(node) : ToJson(node).dump();
+        AddFault(node.source(), full_path,
+                 fmt::format("{}; expected {}", Excerpt(given), DescribeExpected(*setting)));
         continue;
       }
-      document_.places[full] = PlaceOf(node.source());
-      Put(document_.told, item->told, index, *told);
+      parsed_.locations[full_path] = LocationOf(node.source());
+      SetValueAt(parsed_.values, setting->platform_path, index, *value);
     }
   }
 
-  Document& document_;
+  ParsedOperatorsFile& parsed_;
   const std::string& file_;
-  std::map<std::string, std::vector<std::string>> names_;  // by section
+  std::map<std::string, std::vector<std::string>> names_by_section_;
 };
 
-// "a.b[].c" as steps; the step "[]" is the index.
-std::vector<std::string> Steps(std::string_view told) {
+// Splits "a.b[].c" into "a", "b", "[]" and "c"; the step "[]" stands for the index.
+std::vector<std::string> PathSteps(std::string_view platform_path) {
   std::vector<std::string> steps;
-  while (!told.empty()) {
-    const std::size_t dot = told.find('.');
-    std::string_view step = told.substr(0, dot);
+  while (!platform_path.empty()) {
+    const std::size_t dot = platform_path.find('.');
+    std::string_view step = platform_path.substr(0, dot);
     const bool list = step.ends_with("[]");
     if (list) step.remove_suffix(2);
     steps.emplace_back(step);
     if (list) steps.emplace_back("[]");
-    told.remove_prefix(dot == std::string_view::npos ? told.size() : dot + 1);
+    platform_path.remove_prefix(dot == std::string_view::npos ? platform_path.size() : dot + 1);
   }
   return steps;
 }
 
 }  // namespace
 
-const json* At(const json& root, std::string_view told, std::size_t index) {
-  const json* at = &root;
-  for (const std::string& step : Steps(told)) {
+const json* ValueAt(const json& root, std::string_view platform_path, std::size_t index) {
+  const json* value = &root;
+  for (const std::string& step : PathSteps(platform_path)) {
     if (step == "[]") {
-      if (!at->is_array() || index >= at->size()) return nullptr;
-      at = &(*at)[index];
+      if (!value->is_array() || index >= value->size()) return nullptr;
+      value = &(*value)[index];
     } else {
-      if (!at->is_object()) return nullptr;
-      const auto it = at->find(step);
-      if (it == at->end()) return nullptr;
-      at = &*it;
+      if (!value->is_object()) return nullptr;
+      const auto it = value->find(step);
+      if (it == value->end()) return nullptr;
+      value = &*it;
     }
   }
-  return at->is_null() ? nullptr : at;
+  return value->is_null() ? nullptr : value;
 }
 
-void Put(json& root, std::string_view told, std::size_t index, json value) {
-  json* at = &root;
-  for (const std::string& step : Steps(told)) {
+void SetValueAt(json& root, std::string_view platform_path, std::size_t index, json value) {
+  json* target = &root;
+  for (const std::string& step : PathSteps(platform_path)) {
     if (step == "[]") {
-      if (!at->is_array()) *at = json::array();
-      while (at->size() <= index) at->push_back(nullptr);
-      at = &(*at)[index];
+      if (!target->is_array()) *target = json::array();
+      while (target->size() <= index) target->push_back(nullptr);
+      target = &(*target)[index];
     } else {
-      at = &(*at)[step];
+      target = &(*target)[step];
     }
   }
-  *at = std::move(value);
+  *target = std::move(value);
 }
 
 std::string ToText(const Fault& fault) {
   std::string text = fault.file;
-  if (fault.at.line > 0)
-    text += fmt::format("{}{}:{}", text.empty() ? "" : ":", fault.at.line, fault.at.column);
+  if (fault.location.line > 0)
+    text += fmt::format("{}{}:{}", text.empty() ? "" : ":", fault.location.line, fault.location.column);
   if (!fault.path.empty()) text += (text.empty() ? "" : ": ") + fault.path;
-  return text + (text.empty() ? "" : ": ") + fault.what;
+  return text + (text.empty() ? "" : ": ") + fault.problem;
 }
 
-std::string ToText(const std::vector<Fault>& faults, std::string_view between) {
+std::string ToText(const std::vector<Fault>& faults, std::string_view separator) {
   std::string text;
   for (const Fault& fault : faults) {
-    if (!text.empty()) text += between;
+    if (!text.empty()) text += separator;
     text += ToText(fault);
   }
   return text;
 }
 
-Document ReadDocument(std::string_view text, const std::string& file) {
-  Document document;
-  if (text.size() > kMostDocument) {
-    document.faults.push_back(
-        {file, {}, "", fmt::format("{} bytes; expected at most {}", text.size(), kMostDocument)});
-    return document;
+ParsedOperatorsFile ParseOperatorsFile(std::string_view text, const std::string& file) {
+  ParsedOperatorsFile parsed;
+  if (text.size() > kMaxDocumentBytes) {
+    parsed.faults.push_back(
+        {file, {}, "", fmt::format("{} bytes; expected at most {}", text.size(), kMaxDocumentBytes)});
+    return parsed;
   }
   try {
     const toml::table root = toml::parse(text);
-    Reader(document, file).Read(root);
+    TomlReader(parsed, file).Read(root);
   } catch (const toml::parse_error& error) {
-    document.faults.push_back({file, PlaceOf(error.source()), "", std::string(error.description())});
-    return document;
+    parsed.faults.push_back({file, LocationOf(error.source()), "", std::string(error.description())});
+    return parsed;
   } catch (const std::logic_error& error) {
-    document.faults.push_back({file, {}, "", "is no TOML"});
-    return document;
+    parsed.faults.push_back({file, {}, "", "is not valid TOML"});
+    return parsed;
   }
-  // The node's own zone is a name here and a number for the platform.
-  if (json* zone = const_cast<json*>(At(document.told, "settings.zone", 0)); zone != nullptr) {
-    const json* zones = At(document.told, "settings.zones", 0);
+  // The operator's file names the node's own zone; the platform's form has the zone's index.
+  if (json* zone = const_cast<json*>(ValueAt(parsed.values, "settings.zone", 0)); zone != nullptr) {
+    const json* zones = ValueAt(parsed.values, "settings.zones", 0);
     json number;
     for (std::size_t i = 0; zones != nullptr && i < zones->size(); ++i) {
       if ((*zones)[i] == *zone) number = i;
     }
     if (number.is_null()) {
-      document.faults.push_back({file, document.places["delivery.zone"], "delivery.zone",
-                                 fmt::format("{}; expected the name of one of [[zones]]", zone->dump())});
+      parsed.faults.push_back({file, parsed.locations["delivery.zone"], "delivery.zone",
+                               fmt::format("{}; expected the name of one of [[zones]]", zone->dump())});
     }
     *zone = number;
   }
-  return document;
+  return parsed;
 }
 
 }  // namespace indigosaddle::config
--- a/src/config/document.h
+++ b/src/config/document.h
@@ -1,5 +1,5 @@
-// The operator's file: TOML in, the platform's form out, with the place of every value, or all faults at
-// once. No I/O.
+// Reads the operator's configuration file: takes TOML and returns its values in the form of the platform's
+// JSON, with the location of every value in the file, or every fault at once. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,43 +11,54 @@
 
 namespace indigosaddle::config {
 
-struct Place {
-  std::size_t line = 0, column = 0;  // from 1; 0: nowhere in the file
+// A position in a text file.
+struct SourceLocation {
+  std::size_t line = 0, column = 0;  // both count from 1; 0: the location is not known
 };
 
+// One error in a source of the configuration.
 struct Fault {
-  std::string file;  // or what else the value came from
-  Place at;
-  std::string path;  // "classes[1].aim"; empty: the file as a whole
-  std::string what;  // what is wrong and what was expected, without an end mark
+  std::string file;  // the file's name, or a name for the other source that the value came from
+  SourceLocation location;
+  std::string path;     // of the setting, such as "classes[1].aim"; empty: the file as a whole
+  std::string problem;  // what is wrong and what was expected, without a full stop
 };
 
-// "FILE:LINE:COLUMN: PATH: WHAT", as compilers write it.
+// "FILE:LINE:COLUMN: PATH: PROBLEM", as compilers print errors. Parts that are not known are left out.
 std::string ToText(const Fault& fault);
-std::string ToText(const std::vector<Fault>& faults, std::string_view between);
+// All faults, with `separator` between them.
+std::string ToText(const std::vector<Fault>& faults, std::string_view separator);
 
-struct Document {
-  nlohmann::json told = nlohmann::json::object();  // as the platform's JSON would have it
-  std::map<std::string, Place> places;             // of each value by its path in the file
+// The values of an operator's file. With faults, only the values without one are present.
+struct ParsedOperatorsFile {
+  nlohmann::json values = nlohmann::json::object();  // in the form of the platform's JSON
+  std::map<std::string, SourceLocation> locations;   // of each value, by its path in the operator's file
   std::vector<Fault> faults;
 };
 
-constexpr std::size_t kMostDocument = std::size_t{64} * 1024;  // bytes of the operator's file
+constexpr std::size_t kMaxDocumentBytes = std::size_t{64} * 1024;  // of the operator's file
 
-Document ReadDocument(std::string_view toml, const std::string& file);
+// Parses the text of an operator's file and checks each value by itself against the schema. `file` is the
+// file's name for the faults.
+ParsedOperatorsFile ParseOperatorsFile(std::string_view toml, const std::string& file);
 
-// Values that contradict one another, in the platform's form; `file` and `places` as known for the document.
-std::vector<Fault> Contradictions(const nlohmann::json& told, const std::string& file,
-                                  const std::map<std::string, Place>& places);
+// Finds values that contradict one another although each is valid by itself. `values` are in the platform's
+// form; `file` and `locations` are those of the operator's file, for the faults.
+std::vector<Fault> FindContradictions(const nlohmann::json& values, const std::string& file,
+                                      const std::map<std::string, SourceLocation>& locations);
 
-// The beginning of a value's text as a fault shows it; no character of it is cut in two.
+// The first 80 bytes of a value's text at most, for a fault; never ends within a UTF-8 character.
 std::string Excerpt(const std::string& text);
 
-// The places in a list whose name stands earlier in it too: "settings.classes[].name", "settings.zones[]".
-std::vector<std::size_t> Repeated(const nlohmann::json& told, std::string_view names);
+// The indices of the list entries whose name an earlier entry has already. `name_path` says where the names
+// are: "settings.classes[].name" for a list of tables, "settings.zones[]" for a list of names.
+std::vector<std::size_t> FindRepeatedNames(const nlohmann::json& values, std::string_view name_path);
 
-// The value at "settings.classes[].aim", with `index` for "[]"; null where it is not.
-const nlohmann::json* At(const nlohmann::json& root, std::string_view told, std::size_t index);
-void Put(nlohmann::json& root, std::string_view told, std::size_t index, nlohmann::json value);
+// The value at a path in the platform's form, such as "settings.classes[].aim", with `index` in place of
+// "[]". Null where the value is absent or is a JSON null.
+const nlohmann::json* ValueAt(const nlohmann::json& root, std::string_view platform_path, std::size_t index);
+// Sets the value at such a path and creates the objects and list entries on the way to it.
+void SetValueAt(nlohmann::json& root, std::string_view platform_path, std::size_t index,
+                nlohmann::json value);
 
 }  // namespace indigosaddle::config
--- a/src/config/fault_list.h
+++ b/src/config/fault_list.h
@@ -1,4 +1,4 @@
-// The faults of one document, of bounded size whatever the document holds.
+// A list of the faults of one document that stays small however many faults the document has.
 #pragma once
 
 #include <fmt/format.h>
@@ -12,32 +12,34 @@
 
 namespace indigosaddle::config {
 
+// Collects the faults of one document. The string passed as `file` must outlive the list.
 class FaultList {
  public:
   explicit FaultList(const std::string& file) : file_(file) {}
 
-  bool full() const { return faults_.size() >= kMost; }
-  // Past the most, a fault is only counted.
-  void Add(const std::string& path, std::string what) {
+  // Whether further faults are only counted.
+  bool full() const { return faults_.size() >= kMaxFaults; }
+  // Adds a fault at a path in the document. A full list only counts it.
+  void Add(const std::string& path, std::string problem) {
     if (full()) {
-      ++more_;
+      ++omitted_;
     } else {
-      faults_.push_back({file_, {}, path, std::move(what)});
+      faults_.push_back({file_, {}, path, std::move(problem)});
     }
   }
-  // The faults, the last of them the number of those that were only counted.
+  // Moves the faults out of the list. Where faults were only counted, a last entry says how many.
   std::vector<Fault> Take() {
-    if (more_ > 0) faults_.push_back({file_, {}, "", fmt::format("{} more faults", more_)});
-    more_ = 0;
+    if (omitted_ > 0) faults_.push_back({file_, {}, "", fmt::format("{} more faults", omitted_)});
+    omitted_ = 0;
     return std::move(faults_);
   }
 
  private:
-  static constexpr std::size_t kMost = 50;
+  static constexpr std::size_t kMaxFaults = 50;
 
   const std::string& file_;
   std::vector<Fault> faults_;
-  std::size_t more_ = 0;
+  std::size_t omitted_ = 0;
 };
 
 }  // namespace indigosaddle::config
--- a/src/config/layers.h
+++ b/src/config/layers.h
@@ -1,5 +1,6 @@
-// The sources of the configuration, one over the other: defaults < the operator's file < the platform's JSON
-// < EDGE_ variables. No I/O: texts in, one JSON object in the platform's form out, or all faults.
+// Combines the sources of the configuration. A later source overrides an earlier one: the defaults, the
+// operator's file, the platform's JSON, the EDGE_ variables. Does no I/O: takes the texts of the sources and
+// returns one JSON object in the platform's form, or every fault.
 #pragma once
 
 #include <map>
@@ -12,46 +13,55 @@
 
 namespace indigosaddle::config {
 
+// The text of one source.
 struct Source {
   bool given = false;
   std::string name, text;  // name: of the file, for people
 };
 
+// All sources of one configuration.
 struct Sources {
-  Source operators, platform;
+  Source operators_file, platform;
   std::map<std::string, std::string> environment;  // EDGE_ variables
-  Source in_force = {};  // the platform's document that `platform` follows, for what that may not leave out
+  // The platform's document in force that `platform` is to replace. What it has, `platform` must have too.
+  Source platform_in_force = {};
 };
 
-struct Effective {
-  nlohmann::json merged;  // the platform's form; an object without faults
-  bool has_operators = false;
-  bool platform_usable = true;  // where one is given
+// The combined configuration, and what is needed to tell where each value came from.
+struct EffectiveConfig {
+  nlohmann::json merged;  // in the platform's form; always an object
+  bool has_operators_file = false;
+  bool platform_usable = true;  // false: a platform's document is given and has a fault
   std::vector<Fault> faults;
-  Document operators;
+  ParsedOperatorsFile operators_file;
   nlohmann::json platform = nlohmann::json::object();
-  std::string operators_name, platform_name;
+  std::string operators_file_name, platform_name;
   std::map<std::string, std::string> environment;
 };
 
-// Nothing of a source with a fault is in `merged`.
-Effective Combine(const Sources& sources);
+// Combines all sources. A platform's document with a fault adds nothing to `merged`. An operator's file with
+// faults adds its other values, so a caller must not serve by a result that has faults.
+EffectiveConfig Combine(const Sources& sources);
 
-struct Shown {
-  std::string path, value,
-      from;  // from: "default", "FILE:LINE", the platform's file, "EDGE_NAME", "not given"
-  Change change = Change::kRestart;
-  bool operator==(const Shown&) const = default;
+// One setting as `config show` prints it.
+struct ShownValue {
+  std::string path, value;
+  std::string source;  // "default", "FILE:LINE", the platform's file, "EDGE_NAME", "not given"
+  TakesEffect takes_effect = TakesEffect::kAtRestart;
+  bool operator==(const ShownValue&) const = default;
 };
 
-// Every value that is in force, in the order of the schema. The values of lists come table by table.
-std::vector<Shown> ShowAll(const Effective& effective);
+// Every setting with its value in force, in the order of the schema. The settings of a list come table by
+// table.
+std::vector<ShownValue> ShowAll(const EffectiveConfig& effective);
 
-// What differs, as (path, before, after); a value that is not there shows as "-".
+// A setting whose value differs between two configurations. An absent value is "-". In the path, a table of a
+// list has its name for an index: "classes[notice].aim".
 struct Difference {
   std::string path, before, after;
-  Change change = Change::kRestart;
+  TakesEffect takes_effect = TakesEffect::kAtRestart;
 };
-std::vector<Difference> Differences(const std::vector<Shown>& before, const std::vector<Shown>& after);
+std::vector<Difference> Differences(const std::vector<ShownValue>& before,
+                                    const std::vector<ShownValue>& after);
 
 }  // namespace indigosaddle::config
--- a/src/config/platform_change.cpp
+++ b/src/config/platform_change.cpp
@@ -1,4 +1,4 @@
-// A new document of the platform's held against the one in force.
+// Compares a new platform's document with the one in force.
 #include <fmt/format.h>
 
 #include <string_view>
@@ -12,10 +12,10 @@
 
 using nlohmann::json;
 
-constexpr const char* kClasses = "settings.classes";
-constexpr const char* kKeyed = "idempotency_key";
+constexpr const char* kClassesPath = "settings.classes";
+constexpr const char* kKeyedEffect = "idempotency_key";
 
-const char* KindOf(const json& value) {
+const char* DescribeType(const json& value) {
   if (value.is_object()) return "an object";
   if (value.is_array()) return "a list";
   if (value.is_string()) return "a text";
@@ -23,76 +23,83 @@
   return value.is_number() ? "a number" : "nothing";
 }
 
-const json* Named(const json& list, const json& name) {
+const json* FindTableByName(const json& list, const json& name) {
   for (const json& table : list)
     if (table.is_object() && table.value("name", json()) == name) return &table;
   return nullptr;
 }
 
-bool IsKeyed(const json& table) { return table.value("effect", json()) == json(kKeyed); }
+bool IsKeyed(const json& table) { return table.value("effect", json()) == json(kKeyedEffect); }
 
-// A class that is not keyed may leave out what binds keyed ones alone, but not a part of it.
-bool HasNoKey(const json& table) {
+// Whether a class is not keyed and has none of the values that only keyed classes need. A class that has one
+// of the two must have both.
+bool HasNoKeyValues(const json& table) {
   return !IsKeyed(table) && !table.contains("group") && !table.contains("keyTtl");
 }
 
-// Whether a class has ceased to be keyed, and its key's values went with it. `old` is null for a new class.
-bool LostItsKey(const json& old, const json& next) {
-  return HasNoKey(next) && (old.is_null() || IsKeyed(old));
+// Whether a class is no longer keyed and its key's values were removed with that. `old` is null for a new
+// class.
+bool LostKeyValues(const json& old, const json& next) {
+  return HasNoKeyValues(next) && (old.is_null() || IsKeyed(old));
 }
 
-bool OfTheKey(const std::string& name) { return name == "group" || name == "keyTtl"; }
+bool IsKeyValue(const std::string& name) { return name == "group" || name == "keyTtl"; }
 
+// Collects the values of the old document that the new one lacks or has as another type.
 class Comparison {
  public:
   explicit Comparison(const std::string& file) : faults_(file) {}
 
-  void Objects(const json& old, const json& next, const std::string& path, bool lost_its_key = false) {
+  void CompareObjects(const json& old, const json& next, const std::string& path,
+                      bool lost_key_values = false) {
     for (const auto& [name, value] : old.items()) {
-      if (value.is_null() || (lost_its_key && OfTheKey(name))) continue;
-      const std::string at = path.empty() ? name : fmt::format("{}.{}", path, name);
+      if (value.is_null() || (lost_key_values && IsKeyValue(name))) continue;
+      const std::string value_path = path.empty() ? name : fmt::format("{}.{}", path, name);
       const auto it = next.find(name);
       if (it == next.end() || it->is_null()) {
-        Say(at, "is missing; the settings in force have it");
+        AddFault(value_path, "is missing; the settings in force have it");
       } else {
-        Values(value, *it, at);
+        CompareValues(value, *it, value_path);
       }
     }
   }
   std::vector<Fault> TakeFaults() { return faults_.Take(); }
 
  private:
-  void Say(const std::string& path, std::string what) { faults_.Add(path, std::move(what)); }
+  void AddFault(const std::string& path, std::string problem) { faults_.Add(path, std::move(problem)); }
 
-  bool SameKind(const json& old, const json& next, const std::string& path) {
-    if (std::string_view(KindOf(old)) == KindOf(next)) return true;
-    Say(path, fmt::format("is {}; expected {}, as in the settings in force", KindOf(next), KindOf(old)));
+  bool CheckSameType(const json& old, const json& next, const std::string& path) {
+    if (std::string_view(DescribeType(old)) == DescribeType(next)) return true;
+    AddFault(path, fmt::format("is {}; expected {}, as in the settings in force", DescribeType(next),
+                               DescribeType(old)));
     return false;
   }
-  void Values(const json& old, const json& next, const std::string& path) {
-    if (!SameKind(old, next, path)) return;
-    if (old.is_object() && path != "known") Objects(old, next, path);
-    if (old.is_array()) Lists(old, next, path);
+  void CompareValues(const json& old, const json& next, const std::string& path) {
+    if (!CheckSameType(old, next, path)) return;
+    if (old.is_object() && path != "known") CompareObjects(old, next, path);
+    if (old.is_array()) CompareLists(old, next, path);
   }
-  void Lists(const json& old, const json& next, const std::string& path) {
+  void CompareLists(const json& old, const json& next, const std::string& path) {
     if (old.empty()) return;
-    const bool classes = path == kClasses;
-    const json common = old.front().is_object() ? InCommon(old) : json();
+    const bool classes = path == kClassesPath;
+    const json common = old.front().is_object() ? CommonValues(old) : json();
     for (std::size_t i = 0; i < next.size(); ++i) {
-      const std::string at = fmt::format("{}[{}]", path, i);
-      if (!SameKind(old.front(), next[i], at) || !next[i].is_object()) continue;
-      const json* namesake = Named(old, next[i].value("name", json()));
-      const bool lost_its_key = classes && LostItsKey(namesake != nullptr ? *namesake : json(), next[i]);
-      Objects(namesake != nullptr ? *namesake : common, next[i], at, lost_its_key);
+      const std::string entry_path = fmt::format("{}[{}]", path, i);
+      if (!CheckSameType(old.front(), next[i], entry_path) || !next[i].is_object()) continue;
+      const json* same_name = FindTableByName(old, next[i].value("name", json()));
+      const bool lost_key_values =
+          classes && LostKeyValues(same_name != nullptr ? *same_name : json(), next[i]);
+      CompareObjects(same_name != nullptr ? *same_name : common, next[i], entry_path, lost_key_values);
     }
   }
-  // What all tables of a list have; a class without a key says nothing of what keyed ones must have.
-  static json InCommon(const json& tables) {
+  // The values that all tables of a list have. A class without key values does not count against those: it
+  // does not show that keyed classes may lack them.
+  static json CommonValues(const json& tables) {
     json common = tables.front();
     for (const json& table : tables) {
       if (!table.is_object()) continue;
       for (auto it = common.begin(); it != common.end();) {
-        const bool has = table.contains(it.key()) || (OfTheKey(it.key()) && HasNoKey(table));
+        const bool has = table.contains(it.key()) || (IsKeyValue(it.key()) && HasNoKeyValues(table));
         it = has ? std::next(it) : common.erase(it);
       }
     }
@@ -104,9 +111,9 @@
 
 }  // namespace
 
-std::vector<Fault> MissingSince(const json& in_force, const json& next, const std::string& file) {
+std::vector<Fault> FindMissingValues(const json& in_force, const json& next, const std::string& file) {
   Comparison comparison(file);
-  if (in_force.is_object() && next.is_object()) comparison.Objects(in_force, next, "");
+  if (in_force.is_object() && next.is_object()) comparison.CompareObjects(in_force, next, "");
   return comparison.TakeFaults();
 }
 
--- a/src/config/platform_document.cpp
+++ b/src/config/platform_document.cpp
@@ -17,215 +17,225 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMostText = 4096;
-constexpr double kLeastTime = 1e-3, kLeastSize = 1e-6;  // what the node counts in: microseconds, bytes
-constexpr std::size_t kMostEntries = 1000;              // of one list, also of plain values
+constexpr std::size_t kMaxTextBytes = 4096;
+// The smallest duration and size that the node can count: a microsecond in milliseconds, a byte in megabytes.
+constexpr double kMinDuration = 1e-3, kMinSize = 1e-6;
+constexpr std::size_t kMaxEntries = 1000;  // in one list, of tables or of plain values
 
-// A list of tables of the document.
+// A list of tables in the document.
 struct TableList {
   std::string_view path;
   bool required;
 };
 constexpr TableList kTableLists[] = {{"settings.classes", true}, {"settings.orgs", false}};
 
-// Lists of plain values that stand beside one another: one entry each for every entry of the first.
-struct SideBySide {
+// A list of plain values that must have one entry for each entry of the list of names.
+struct ParallelList {
   const char* list;
   const char* names;
 };
-constexpr SideBySide kSideBySide[] = {{"settings.familyInfo.perCall", "settings.machineTypes"},
-                                      {"settings.familyInfo.separateRoutes", "settings.machineTypes"},
-                                      {"settings.familyInfo.zoneFee", "settings.zones"}};
+constexpr ParallelList kParallelLists[] = {{"settings.familyInfo.perCall", "settings.machineTypes"},
+                                           {"settings.familyInfo.separateRoutes", "settings.machineTypes"},
+                                           {"settings.familyInfo.zoneFee", "settings.zones"}};
 
-std::string Most(const Item& item) {
+std::string MaxInPlatformUnit(const Setting& setting) {
   constexpr double kMegabyte = 1e6;
-  return fmt::format("{}", item.type == Type::kBytes ? item.most / kMegabyte : item.most);
+  return fmt::format("{}", setting.type == ValueType::kBytes ? setting.max / kMegabyte : setting.max);
 }
 
-// The least value over 0 that is not 0 to the node.
-double LeastOverZero(const Item& item) {
-  if (item.type == Type::kDuration) return kLeastTime;
-  return item.type == Type::kBytes ? kLeastSize : 0;
+// The smallest positive value that does not become 0 in the node's own unit.
+double MinPositive(const Setting& setting) {
+  if (setting.type == ValueType::kDuration) return kMinDuration;
+  return setting.type == ValueType::kBytes ? kMinSize : 0;
 }
 
-std::string ExpectedByPlatform(const Item& item, bool over_zero) {
-  switch (item.type) {
-    case Type::kText: return "a text in quotes";
-    case Type::kAddress: return "\"ip:port\"";
-    case Type::kFlag: return "true or false";
-    case Type::kWord: {
-      std::string words;
-      EachWord(item.words, [&](std::string_view, std::string_view theirs) {
-        words += fmt::format("{}\"{}\"", words.empty() ? "" : " or ", theirs);
+std::string DescribeExpectedByPlatform(const Setting& setting, bool must_be_positive) {
+  switch (setting.type) {
+    case ValueType::kText: return "a text in quotes";
+    case ValueType::kAddress: return "\"ip:port\"";
+    case ValueType::kFlag: return "true or false";
+    case ValueType::kChoice: {
+      std::string choices;
+      ForEachChoice(setting.choices, [&](std::string_view, std::string_view platform_word) {
+        choices += fmt::format("{}\"{}\"", choices.empty() ? "" : " or ", platform_word);
       });
-      return words;
+      return choices;
     }
     default: break;
   }
-  const char* kind = item.type == Type::kInteger ? "a whole number" : "a number";
-  const double least = over_zero ? LeastOverZero(item) : 0;
-  return fmt::format("{} {} 0{}, at most {}", kind, over_zero ? "over" : "from",
-                     least > 0 ? fmt::format(", at least {}", least) : "", Most(item));
+  const char* kind = setting.type == ValueType::kInteger ? "a whole number" : "a number";
+  const double min = must_be_positive ? MinPositive(setting) : 0;
+  return fmt::format("{} {} 0{}, at most {}", kind, must_be_positive ? "over" : "from",
+                     min > 0 ? fmt::format(", at least {}", min) : "", MaxInPlatformUnit(setting));
 }
 
-bool IsWord(const Item& item, const json& value) {
+bool IsChoice(const Setting& setting, const json& value) {
   bool known = false;
-  EachWord(item.words, [&](std::string_view, std::string_view theirs) {
-    known |= value.is_string() && value.get_ref<const std::string&>() == theirs;
+  ForEachChoice(setting.choices, [&](std::string_view, std::string_view platform_word) {
+    known |= value.is_string() && value.get_ref<const std::string&>() == platform_word;
   });
   return known;
 }
 
-bool IsNumber(const Item& item, const json& value, bool over_zero) {
+bool IsNumber(const Setting& setting, const json& value, bool must_be_positive) {
   if (!value.is_number()) return false;
   const double number = value.get<double>();
-  const double most = item.type == Type::kBytes ? item.most / 1e6 : item.most;
-  const double least = over_zero ? LeastOverZero(item) : 0;
-  if (!(over_zero ? number > 0 : number >= 0) || number < least || number > most) return false;
-  return item.type != Type::kInteger || std::trunc(number) == number;
+  const double max = setting.type == ValueType::kBytes ? setting.max / 1e6 : setting.max;
+  const double min = must_be_positive ? MinPositive(setting) : 0;
+  if (!(must_be_positive ? number > 0 : number >= 0) || number < min || number > max) return false;
+  return setting.type != ValueType::kInteger || std::trunc(number) == number;
 }
 
-bool IsGood(const Item& item, const json& value, bool over_zero) {
-  switch (item.type) {
-    case Type::kText: {
+bool IsValid(const Setting& setting, const json& value, bool must_be_positive) {
+  switch (setting.type) {
+    case ValueType::kText: {
       const auto* text = value.get_ptr<const std::string*>();
-      return text != nullptr && !text->empty() && text->size() <= kMostText;
+      return text != nullptr && !text->empty() && text->size() <= kMaxTextBytes;
     }
-    case Type::kAddress: return value.is_string();  // its form is judged where addresses are known
-    case Type::kFlag: return value.is_boolean();
-    case Type::kWord: return IsWord(item, value);
-    default: return IsNumber(item, value, over_zero);
+    case ValueType::kAddress: return value.is_string();  // src/node parses the address
+    case ValueType::kFlag: return value.is_boolean();
+    case ValueType::kChoice: return IsChoice(setting, value);
+    default: return IsNumber(setting, value, must_be_positive);
   }
 }
 
+// Collects the faults of one platform's document, at most one for each path.
 class Checker {
  public:
-  Checker(const json& document, const std::string& file, Below below)
-      : document_(document), faults_(file), alone_(below == Below::kNothing) {}
+  Checker(const json& document, const std::string& file, BaseLayer base)
+      : document_(document), faults_(file), complete_(base == BaseLayer::kNone) {}
 
   std::vector<Fault> Check() {
-    for (const Item& item : PlatformSchema()) {
-      const std::string_view told = item.told;
-      if (told.ends_with("[]")) {
-        PlainList(item, std::string(told.substr(0, told.size() - 2)));
-      } else if (told.find("[]") == std::string_view::npos) {
-        const bool required = alone_ && item.platform.presence == Presence::kRequired;
-        if (const json* value = Lookup(document_, "", told, required)) Value(item, *value, item.told);
+    for (const Setting& setting : PlatformSchema()) {
+      const std::string_view path = setting.platform_path;
+      if (path.ends_with("[]")) {
+        CheckPlainList(setting, std::string(path.substr(0, path.size() - 2)));
+      } else if (path.find("[]") == std::string_view::npos) {
+        const bool required = complete_ && setting.platform_rule.presence == Presence::kRequired;
+        if (const json* value = Lookup(document_, "", path, required))
+          CheckValue(setting, *value, setting.platform_path);
       }
     }
-    for (const TableList& list : kTableLists) Tables(list);
-    for (const SideBySide& pair : kSideBySide) Lengths(pair);
-    ZoneInRange();
+    for (const TableList& list : kTableLists) CheckTables(list);
+    for (const ParallelList& list : kParallelLists) CheckLength(list);
+    CheckZone();
     return faults_.Take();
   }
 
  private:
-  void Say(const std::string& path, std::string what) {
-    if (faults_.full() || said_.insert(path).second) faults_.Add(path, std::move(what));
+  void AddFault(const std::string& path, std::string problem) {
+    if (faults_.full() || paths_with_fault_.insert(path).second) faults_.Add(path, std::move(problem));
   }
 
-  // The value at a dotted path below `root`; null where it is absent, which is a fault where it is required.
-  // The fault names the outermost thing that is absent or no object.
-  const json* Lookup(const json& root, const std::string& base, std::string_view dotted, bool required) {
-    const json* at = &root;
-    std::string path = base;
-    while (!dotted.empty()) {
-      if (!at->is_object()) {
-        Say(path, "expected an object");
+  // The value at a dotted path below `root`, whose own path is `root_path`. Null where it is absent, which is
+  // a fault if it is required. The fault names the first step that is absent or is not an object.
+  const json* Lookup(const json& root, const std::string& root_path, std::string_view dotted_path,
+                     bool required) {
+    const json* value = &root;
+    std::string path = root_path;
+    while (!dotted_path.empty()) {
+      if (!value->is_object()) {
+        AddFault(path, "expected an object");
         return nullptr;
       }
-      const std::size_t dot = dotted.find('.');
-      const std::string step(dotted.substr(0, dot));
-      dotted.remove_prefix(dot == std::string_view::npos ? dotted.size() : dot + 1);
+      const std::size_t dot = dotted_path.find('.');
+      const std::string step(dotted_path.substr(0, dot));
+      dotted_path.remove_prefix(dot == std::string_view::npos ? dotted_path.size() : dot + 1);
       path += (path.empty() ? "" : ".") + step;
-      const auto it = at->find(step);
-      if (it == at->end() || it->is_null()) {
-        if (required) Say(path, "is missing");
+      const auto it = value->find(step);
+      if (it == value->end() || it->is_null()) {
+        if (required) AddFault(path, "is missing");
         return nullptr;
       }
-      at = &*it;
+      value = &*it;
     }
-    return at;
+    return value;
   }
 
-  void Value(const Item& item, const json& value, const std::string& path) {
-    Value(item, value, path, item.platform.over_zero);
+  void CheckValue(const Setting& setting, const json& value, const std::string& path) {
+    CheckValue(setting, value, path, setting.platform_rule.must_be_positive);
   }
-  void Value(const Item& item, const json& value, const std::string& path, bool over_zero) {
-    if (IsGood(item, value, over_zero)) return;
-    Say(path, fmt::format("{}; expected {}", Excerpt(value.dump()), ExpectedByPlatform(item, over_zero)));
+  void CheckValue(const Setting& setting, const json& value, const std::string& path, bool must_be_positive) {
+    if (IsValid(setting, value, must_be_positive)) return;
+    AddFault(path, fmt::format("{}; expected {}", Excerpt(value.dump()),
+                               DescribeExpectedByPlatform(setting, must_be_positive)));
   }
 
-  void PlainList(const Item& item, const std::string& path) {
-    const bool required = alone_ && item.platform.presence == Presence::kRequired;
+  void CheckPlainList(const Setting& setting, const std::string& path) {
+    const bool required = complete_ && setting.platform_rule.presence == Presence::kRequired;
     const json* list = Lookup(document_, "", path, required);
     if (list == nullptr) return;
-    if (!list->is_array() || list->size() > kMostEntries)
-      return Say(path, fmt::format("expected a list of at most {} values", kMostEntries));
-    for (std::size_t i = 0; i < list->size(); ++i) Value(item, (*list)[i], fmt::format("{}[{}]", path, i));
-    if (item.type == Type::kText) NamedTwice(path, path + "[]");
+    if (!list->is_array() || list->size() > kMaxEntries)
+      return AddFault(path, fmt::format("expected a list of at most {} values", kMaxEntries));
+    for (std::size_t i = 0; i < list->size(); ++i)
+      CheckValue(setting, (*list)[i], fmt::format("{}[{}]", path, i));
+    if (setting.type == ValueType::kText) CheckNamesUnique(path, path + "[]");
   }
 
-  void Tables(const TableList& of) {
-    const std::string path(of.path);
-    const json* list = Lookup(document_, "", path, alone_ && of.required);
+  void CheckTables(const TableList& expected) {
+    const std::string path(expected.path);
+    const json* list = Lookup(document_, "", path, complete_ && expected.required);
     if (list == nullptr) return;
-    if (!list->is_array() || list->size() > kMostEntries || (of.required && list->empty())) {
-      return Say(path, fmt::format("expected a list of {} to {} objects", of.required ? 1 : 0, kMostEntries));
+    if (!list->is_array() || list->size() > kMaxEntries || (expected.required && list->empty())) {
+      return AddFault(
+          path, fmt::format("expected a list of {} to {} objects", expected.required ? 1 : 0, kMaxEntries));
     }
-    for (std::size_t i = 0; i < list->size(); ++i) Table(path, (*list)[i], i);
-    NamedTwice(path, path + "[].name");
+    for (std::size_t i = 0; i < list->size(); ++i) CheckTable(path, (*list)[i], i);
+    CheckNamesUnique(path, path + "[].name");
   }
 
-  // What a table leaves out nothing else gives, whatever stands below the document.
-  void Table(const std::string& list, const json& table, std::size_t index) {
+  // A table must have all its required values, with an operator's file as well: lists are not merged, so no
+  // other source gives what a table leaves out.
+  void CheckTable(const std::string& list, const json& table, std::size_t index) {
     const std::string path = fmt::format("{}[{}]", list, index), prefix = list + "[].";
     const bool keyed = table.is_object() && table.value("effect", json()) == json("idempotency_key");
-    for (const Item& item : PlatformSchema()) {
-      const std::string_view told = item.told;
-      if (!told.starts_with(prefix)) continue;
-      const std::string name(told.substr(prefix.size()));
-      const bool with_key = item.platform.presence == Presence::kOfKeyedClass;
-      const bool required = item.platform.presence == Presence::kRequired || (with_key && keyed);
+    for (const Setting& setting : PlatformSchema()) {
+      const std::string_view platform_path = setting.platform_path;
+      if (!platform_path.starts_with(prefix)) continue;
+      const std::string name(platform_path.substr(prefix.size()));
+      const bool for_keyed = setting.platform_rule.presence == Presence::kRequiredIfKeyed;
+      const bool required = setting.platform_rule.presence == Presence::kRequired || (for_keyed && keyed);
       const json* value = Lookup(table, path, name, required);
-      const bool over_zero = item.platform.over_zero && (!with_key || keyed);
-      if (value != nullptr) Value(item, *value, fmt::format("{}.{}", path, name), over_zero);
+      const bool must_be_positive = setting.platform_rule.must_be_positive && (!for_keyed || keyed);
+      if (value != nullptr) CheckValue(setting, *value, fmt::format("{}.{}", path, name), must_be_positive);
     }
   }
 
-  void NamedTwice(const std::string& list, const std::string& names) {
-    for (const std::size_t index : Repeated(document_, names)) {
-      Say(fmt::format("{}[{}]", list, index),
-          fmt::format("{} is named twice", At(document_, names, index)->dump()));
+  void CheckNamesUnique(const std::string& list, const std::string& name_path) {
+    for (const std::size_t index : FindRepeatedNames(document_, name_path)) {
+      AddFault(fmt::format("{}[{}]", list, index),
+               fmt::format("{} is named twice", ValueAt(document_, name_path, index)->dump()));
     }
   }
 
-  void Lengths(const SideBySide& pair) {
-    const json *list = At(document_, pair.list, 0), *names = At(document_, pair.names, 0);
+  void CheckLength(const ParallelList& parallel) {
+    const json *list = ValueAt(document_, parallel.list, 0), *names = ValueAt(document_, parallel.names, 0);
     if (list == nullptr || names == nullptr || !list->is_array() || !names->is_array()) return;
     if (list->size() != names->size()) {
-      Say(pair.list,
-          fmt::format("{} entries; expected {}, as many as {} has", list->size(), names->size(), pair.names));
+      AddFault(parallel.list, fmt::format("{} entries; expected {}, as many as {} has", list->size(),
+                                          names->size(), parallel.names));
     }
   }
 
-  void ZoneInRange() {
-    const json *zone = At(document_, "settings.zone", 0), *zones = At(document_, "settings.zones", 0);
+  void CheckZone() {
+    const json *zone = ValueAt(document_, "settings.zone", 0),
+               *zones = ValueAt(document_, "settings.zones", 0);
     if (zone == nullptr || zones == nullptr || !zone->is_number() || !zones->is_array()) return;
-    if (zone->get<double>() >= static_cast<double>(zones->size()))
-      Say("settings.zone", fmt::format("{}; expected the place of one of settings.zones", zone->dump()));
+    if (zone->get<double>() >= static_cast<double>(zones->size())) {
+      AddFault("settings.zone", fmt::format("{}; expected the place of one of settings.zones", zone->dump()));
+    }
   }
 
   const json& document_;
   FaultList faults_;
-  const bool alone_;
-  std::set<std::string> said_;  // paths, each is said once
+  const bool complete_;  // the document must be complete by itself
+  std::set<std::string> paths_with_fault_;
 };
 
 }  // namespace
 
-std::vector<Fault> CheckPlatformDocument(const json& document, const std::string& file, Below below) {
-  return Checker(document, file, below).Check();
+std::vector<Fault> CheckPlatformDocument(const json& document, const std::string& file, BaseLayer base) {
+  return Checker(document, file, base).Check();
 }
 
 }  // namespace indigosaddle::config
--- a/src/config/platform_document.h
+++ b/src/config/platform_document.h
@@ -1,5 +1,5 @@
-// The platform's document held against its schema, and against the one in force. An absent value is never
-// taken for a default: a document is whole, or the list of its faults says why it is not.
+// Checks the platform's document against its schema and against the document in force. An absent value is
+// never replaced by a default: a document is either complete or refused with the list of its faults.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,17 +10,18 @@
 
 namespace indigosaddle::config {
 
-// Whether the operator's file stands below the platform's document and gives what that leaves out.
-enum class Below : std::uint8_t { kNothing, kOperatorsFile };
+// The source that gives the values that a platform's document leaves out.
+enum class BaseLayer : std::uint8_t { kNone, kOperatorsFile };
 
-// Every fault of `document` by itself.
+// Finds every fault of `document` by itself. `file` is the document's name for the faults.
 std::vector<Fault> CheckPlatformDocument(const nlohmann::json& document, const std::string& file,
-                                         Below below);
+                                         BaseLayer base);
 
-// What `in_force` says and `next` does not, or says as a value of another kind. Tables of a list are held
-// against their namesakes; one without a namesake must have all that those in force have in common. Where a
-// class is no longer keyed, its group and its key's life may go.
-std::vector<Fault> MissingSince(const nlohmann::json& in_force, const nlohmann::json& next,
-                                const std::string& file);
+// Finds the values of `in_force` that `next` lacks or has as another type. A table of a list is compared with
+// the table of the same name; one whose name is new must have the values that all tables in force have in
+// common. Where a class is no longer keyed, its group and the lifetime of its key may be left out. `file` is
+// the name of `next` for the faults.
+std::vector<Fault> FindMissingValues(const nlohmann::json& in_force, const nlohmann::json& next,
+                                     const std::string& file);
 
 }  // namespace indigosaddle::config
--- a/src/config/schema.h
+++ b/src/config/schema.h
@@ -1,6 +1,7 @@
-// The one table of all settings: name, type, unit, range, default, whether it may change while running, when
-// to touch it. Checking, `config show`, `config schema` and docs/configuration.md are all made from it; a
-// setting that is not in here does not exist for operators.
+// The table of all settings: name, type, unit, range, default, whether a change takes effect while the node
+// runs, and when an operator should change it. The checks, `config show`, `config schema` and
+// docs/configuration.md are all made from this table. A setting that is not in it does not exist for
+// operators.
 #pragma once
 
 #include <cstdint>
@@ -12,51 +13,57 @@
 
 namespace indigosaddle::config {
 
-enum class Type : std::uint8_t { kText, kAddress, kWord, kFlag, kInteger, kNumber, kDuration, kBytes };
-enum class Change : std::uint8_t { kRunning, kRestart };
-// Whether the platform's document must have a value. Within a table of a list: each table.
-enum class Presence : std::uint8_t { kOptional, kRequired, kOfKeyedClass };
+enum class ValueType : std::uint8_t { kText, kAddress, kChoice, kFlag, kInteger, kNumber, kDuration, kBytes };
+// When a change of a setting takes effect.
+enum class TakesEffect : std::uint8_t { kWhileRunning, kAtRestart };
+// Whether the platform's document must have a value. For a setting in a list of tables: whether each table
+// must.
+enum class Presence : std::uint8_t { kOptional, kRequired, kRequiredIfKeyed };
 
-// What is asked of a value in the platform's document, beside its type and its most.
+// What a value in the platform's document must satisfy besides its type and its maximum.
 struct PlatformRule {
   Presence presence = Presence::kOptional;
-  bool over_zero = false;  // else from 0 up
+  bool must_be_positive = false;  // false: 0 is allowed too
 };
 
-// `path` is the name in the operator's file; "[]" stands for each table of a list. `told` is where the
-// platform's JSON has the same value; "[]" at its end: a list of plain values, one for each table. Numbers
-// there are milliseconds for durations and millions of bytes for sizes.
-struct Item {
-  const char* path;
-  const char* told;
-  Type type;
-  double least, most;  // durations in milliseconds, sizes in bytes, texts in characters
-  const char* absent;  // the default, as it would be written; empty: none
-  Change change;
-  const char* words;  // for kWord: "ours=theirs|..."; else empty
-  const char* about;
-  const char* touch;  // when to touch it
-  PlatformRule platform = {};
+// One row of the table. The platform's form counts durations in milliseconds and sizes in megabytes (10^6
+// bytes).
+struct Setting {
+  const char* path;           // in the operator's file; "[]" stands for each table of a list
+  const char* platform_path;  // in the platform's JSON; "[]" at the end: plain values, one for each table
+  ValueType type;
+  double min, max;           // durations in milliseconds, sizes in bytes, texts in characters
+  const char* default_text;  // the default as it would be written in the file; empty: there is none
+  TakesEffect takes_effect;
+  const char* choices;  // for kChoice: "word in the file=word of the platform|..."; else empty
+  const char* description;
+  const char* when_to_change;
+  PlatformRule platform_rule = {};
 };
 
-const std::vector<Item>& Schema();
-const Item* Find(std::string_view path);  // "classes[].aim"; null: unknown
+// All settings of the operator's file, section by section.
+const std::vector<Setting>& Schema();
+// The setting with a path such as "classes[].aim"; null where there is none.
+const Setting* FindSetting(std::string_view path);
 
-// What the platform's document may hold: the items above without the operator's own part, and what the
-// platform alone tells.
-const std::vector<Item>& PlatformSchema();
+// The settings of the platform's document: those above without the operator's own part, and those that only
+// the platform gives.
+const std::vector<Setting>& PlatformSchema();
 
-// The form of a value as the file has it ("250ms"), from the platform's form, and back. Parse gives nothing
-// where the text is no such value; ranges are not looked at.
-std::string Show(const Item& item, const nlohmann::json& told);
-std::optional<nlohmann::json> ToTold(const Item& item, const nlohmann::json& written);
-nlohmann::json DefaultOf(const Item& item);  // in the platform's form, of an item that has one
-std::string Expected(const Item& item);      // "a duration from 1ms to 1h, such as \"250ms\""
+// A value in the form of the operator's file ("250ms"), from the platform's form. Does not check it.
+std::string ToFileForm(const Setting& setting, const nlohmann::json& platform_value);
+// A value in the platform's form, from that of the operator's file. Nothing where the value has another type,
+// cannot be parsed or is out of range; the syntax of an address is not checked here.
+std::optional<nlohmann::json> ToPlatformForm(const Setting& setting, const nlohmann::json& file_value);
+// The default in the platform's form. The setting must have one.
+nlohmann::json DefaultOf(const Setting& setting);
+// The values that a setting takes, for a fault: "a duration in quotes from 1ms to 1h, such as \"250ms\" ...".
+std::string DescribeExpected(const Setting& setting);
 
-// The known names nearest to one that is not: empty where none is near.
-std::string Nearest(std::string_view name, const std::vector<std::string>& known);
+// The known name that is the fewest edits away from an unknown one; empty where none is near.
+std::string NearestName(std::string_view name, const std::vector<std::string>& known_names);
 
-std::string JsonSchema();  // draft 2020-12, of the operator's file as JSON
-std::string Page();        // docs/configuration.md
+std::string JsonSchema();         // a JSON Schema (draft 2020-12) of the operator's file as JSON
+std::string ConfigurationPage();  // the text of docs/configuration.md
 
 }  // namespace indigosaddle::config
--- a/src/config/schema_lists.cpp
+++ b/src/config/schema_lists.cpp
@@ -1,100 +1,118 @@
-// The rows of the schema for lists, watched settings and the program itself.
+// The schema's rows for the lists of tables, the watched settings and the program itself.
 #include "config/schema.h"
 #include "config/schema_rows.h"
 
 namespace indigosaddle::config {
 namespace {
 
-using enum Type;
+using enum ValueType;
 constexpr double kHour = 3600e3, kDay = 24 * kHour;  // durations are in milliseconds
-constexpr double kMany = 1e6;
-constexpr auto kRun = Change::kRunning;
-constexpr auto kStart = Change::kRestart;
-constexpr PlatformRule kMust{Presence::kRequired, false}, kMustOverZero{Presence::kRequired, true};
-constexpr PlatformRule kWithKey{Presence::kOfKeyedClass, false},
-    kWithKeyOverZero{Presence::kOfKeyedClass, true};
+constexpr double kMillion = 1e6;
+constexpr auto kWhileRunning = TakesEffect::kWhileRunning;
+constexpr auto kAtRestart = TakesEffect::kAtRestart;
+constexpr PlatformRule kRequired{Presence::kRequired, false}, kRequiredPositive{Presence::kRequired, true};
+constexpr PlatformRule kIfKeyed{Presence::kRequiredIfKeyed, false},
+    kPositiveIfKeyed{Presence::kRequiredIfKeyed, true};
 
 }  // namespace
 
-const std::vector<Item>& ListRows() {
-  static const std::vector<Item> rows = {
+const std::vector<Setting>& ListRows() {
+  static const std::vector<Setting> rows = {
       // ---- lists
-      {"classes[].name", "settings.classes[].name", kText, 1, 64, "", kRun, "", "Its name in a client's c=.",
-       "A class may be added while running; it is removed only while no message of it is held.", kMust},
-      {"classes[].effect", "settings.classes[].effect", kWord, 0, 0, "unsafe", kRun,
+      {"classes[].name", "settings.classes[].name", kText, 1, 64, "", kWhileRunning, "",
+       "Name of the class, as clients give it in c=.",
+       "A class can be added while the node runs, and removed while the node holds no message of it.",
+       kRequired},
+      {"classes[].effect", "settings.classes[].effect", kChoice, 0, 0, "unsafe", kWhileRunning,
        "safe=read_like|keyed=idempotency_key|unsafe=non_idempotent",
-       "Whether an attempt that may have run may be repeated: safe always, keyed while its key lives, unsafe "
-       "never.",
-       "Only with the partners' word: a wrong one doubles effects.", kMust},
-      {"classes[].group", "settings.classes[].group", kWord, 0, 0, "cell", kRun,
+       "Whether a message may be sent again after an attempt that may have run: safe always, keyed within "
+       "key_ttl, unsafe never.",
+       "Change it only as agreed with the partners: a wrong value can execute messages twice.", kRequired},
+      {"classes[].group", "settings.classes[].group", kChoice, 0, 0, "cell", kWhileRunning,
        "all=all|zone=zone|cell=cell", "Which endpoints of a destination drop a repeat with the same key.",
-       "As partners keep their keys.", kWithKey},
-      {"classes[].key_ttl", "settings.classes[].keyTtl", kDuration, 0, 7 * kDay, "0ms", kRun, "",
-       "How long partners remember a key.", "To the shortest time of any partner.", kWithKeyOverZero},
-      {"classes[].aim", "settings.classes[].aim", kDuration, 0, kDay, "0ms", kRun, "",
-       "When its messages should be through.", "Shorter: more urgent than others, shorter time-outs.", kMust},
-      {"classes[].deadline", "settings.classes[].deadline", kDuration, 0, kDay, "0ms", kRun, "",
-       "How long clients give its messages.", "With the clients' own.", kMustOverZero},
-      {"classes[].worth", "settings.classes[].worth", kNumber, 0, kMany, "0", kRun, "",
-       "What one delivery in time is worth, beside other classes.", "Who goes first when not all can.",
-       kMust},
-      {"classes[].late_value", "settings.classes[].lateValue", kNumber, 0, 1, "0", kRun, "",
-       "Part of the worth that is left at the deadline.", "0 where a late one is as good as none.", kMust},
-      {"classes[].sequential", "settings.classes[].sequential", kFlag, 0, 0, "false", kRun, "",
-       "Whether messages with one order key go one by one, in the order taken.",
-       "Where order matters to partners."},
-      {"tenants[].name", "settings.orgs[].name", kText, 1, 64, "", kRun, "", "Its name in a client's t=.",
-       "A tenant may be added while running; it is removed only while no message of it is held.", kMust},
-      {"tenants[].quota", "settings.orgs[].quotaRps", kNumber, 0, kMany, "0", kRun, "",
-       "Messages a second over all nodes that count as its share; 0: no share is kept.",
-       "When a tenant's contract changes.", kMust},
-      {"kinds[].name", "settings.machineTypes[]", kText, 1, 64, "", kStart, "",
-       "A kind of destination, as lists name it.", "When discovery names a new kind.", kMust},
-      {"kinds[].separate_routes", "settings.familyInfo.separateRoutes[]", kFlag, 0, 0, "false", kStart, "",
-       "Whether each endpoint of such a destination has a limit of its own.", "As the partner's limit works.",
-       kMust},
-      {"zones[].name", "settings.zones[]", kText, 1, 64, "", kStart, "", "A network zone, as lists name it.",
-       "When zones change.", kMust},
-      {"zones[].fee", "settings.familyInfo.zoneFee[]", kNumber, 0, kMany, "0", kStart, "",
-       "Fee of a route in that zone; lower ones are taken first among equals.", "When prices change.", kMust},
-      // ---- watching other settings
-      {"watch.on", "watch.on", kFlag, 0, 0, "false", kStart, "",
-       "Whether a second decider is fed the same events with the settings of this section, does nothing, and "
-       "counts where it would have decided otherwise.",
-       "Before a switch of settings: `status` and the log's `watch` have the counts."},
-      {"watch.weights", "watch.weights", kWord, 0, 0, "", kStart, "none=off|nominal=nominal|rough=rough",
-       "delivery.weights as watched; left out: as in force.", "With watch.on."},
-      {"watch.retry_advice", "watch.retry_advice", kFlag, 0, 0, "", kStart, "",
-       "delivery.retry_advice as watched; left out: as in force.", "With watch.on."},
-      {"watch.connection_price", "watch.connection_price", kNumber, 0, kMany, "", kStart, "",
-       "delivery.connection_price as watched; left out: as in force.", "With watch.on."},
-      {"watch.senders", "watch.senders", kInteger, 1, 100000, "", kStart, "",
-       "delivery.senders as watched; left out: as in force.", "With watch.on."},
-      {"watch.max_attempts", "watch.max_attempts", kInteger, 0, 1000, "", kStart, "",
-       "delivery.max_attempts as watched; left out: as in force.", "With watch.on."},
-      {"watch.overload_factor", "watch.overload_factor", kNumber, 0, 100, "", kStart, "",
-       "return.overload_factor as watched; left out: as in force.", "With watch.on."},
-      {"watch.fall", "watch.fall", kDuration, 1, kHour, "", kStart, "",
-       "return.fall as watched; left out: as in force.", "With watch.on."},
+       "Set it to where the partners keep their keys.", kIfKeyed},
+      {"classes[].key_ttl", "settings.classes[].keyTtl", kDuration, 0, 7 * kDay, "0ms", kWhileRunning, "",
+       "How long partners remember a key.", "Set it to the shortest time of any partner.", kPositiveIfKeyed},
+      {"classes[].aim", "settings.classes[].aim", kDuration, 0, kDay, "0ms", kWhileRunning, "",
+       "Age up to which a delivery of its messages has its full worth.",
+       "A shorter aim makes its messages more urgent than others and shortens their timeouts.", kRequired},
+      {"classes[].deadline", "settings.classes[].deadline", kDuration, 0, kDay, "0ms", kWhileRunning, "",
+       "Age at which clients give up its messages.", "Change it together with the clients' own deadline.",
+       kRequiredPositive},
+      {"classes[].worth", "settings.classes[].worth", kNumber, 0, kMillion, "0", kWhileRunning, "",
+       "Value of one delivery in time, relative to other classes.",
+       "It decides which messages go first when not all can be delivered.", kRequired},
+      {"classes[].late_value", "settings.classes[].lateValue", kNumber, 0, 1, "0", kWhileRunning, "",
+       "Fraction of the worth that is left at the deadline.",
+       "Set 0 where a late delivery is as good as none.", kRequired},
+      {"classes[].sequential", "settings.classes[].sequential", kFlag, 0, 0, "false", kWhileRunning, "",
+       "Whether messages with the same order key are delivered one at a time, in the order in which they "
+       "were accepted.",
+       "Set it where order matters to partners."},
+      {"tenants[].name", "settings.orgs[].name", kText, 1, 64, "", kWhileRunning, "",
+       "Name of the tenant, as clients give it in t=.",
+       "A tenant can be added while the node runs, and removed while the node holds no message of it.",
+       kRequired},
+      {"tenants[].quota", "settings.orgs[].quotaRps", kNumber, 0, kMillion, "0", kWhileRunning, "",
+       "Messages per second, over all nodes, that count as the tenant's share. 0: no quota.",
+       "Change it when a tenant's contract changes.", kRequired},
+      {"kinds[].name", "settings.machineTypes[]", kText, 1, 64, "", kAtRestart, "",
+       "Name of a kind of destination, as in the lists of endpoints.",
+       "Add one when discovery reports a new kind.", kRequired},
+      {"kinds[].separate_routes", "settings.familyInfo.separateRoutes[]", kFlag, 0, 0, "false", kAtRestart,
+       "", "Whether each endpoint of such a destination has a limit of its own.",
+       "Set it to how the partners' limits work.", kRequired},
+      {"zones[].name", "settings.zones[]", kText, 1, 64, "", kAtRestart, "",
+       "Name of a network zone, as in the lists of endpoints.", "Change it when zones change.", kRequired},
+      {"zones[].fee", "settings.familyInfo.zoneFee[]", kNumber, 0, kMillion, "0", kAtRestart, "",
+       "Fee of a route in that zone. Of routes that are otherwise equal, the one with the lowest fee is used "
+       "first.",
+       "Change it when prices change.", kRequired},
+      // ---- shadow evaluation of other settings
+      {"watch.on", "watch.on", kFlag, 0, 0, "false", kAtRestart, "",
+       "Whether a second instance of the delivery policy gets the same events with the settings of this "
+       "section. It has no effect but counts where it would have decided otherwise.",
+       "Use it before a change of these settings. `status` and the log event `watch` report the counts."},
+      {"watch.weights", "watch.weights", kChoice, 0, 0, "", kAtRestart,
+       "none=off|nominal=nominal|rough=rough",
+       "delivery.weights for the second instance; left out: the value in force.", "Use it with watch.on."},
+      {"watch.retry_advice", "watch.retry_advice", kFlag, 0, 0, "", kAtRestart, "",
+       "delivery.retry_advice for the second instance; left out: the value in force.",
+       "Use it with watch.on."},
+      {"watch.connection_price", "watch.connection_price", kNumber, 0, kMillion, "", kAtRestart, "",
+       "delivery.connection_price for the second instance; left out: the value in force.",
+       "Use it with watch.on."},
+      {"watch.senders", "watch.senders", kInteger, 1, 100000, "", kAtRestart, "",
+       "delivery.senders for the second instance; left out: the value in force.", "Use it with watch.on."},
+      {"watch.max_attempts", "watch.max_attempts", kInteger, 0, 1000, "", kAtRestart, "",
+       "delivery.max_attempts for the second instance; left out: the value in force.",
+       "Use it with watch.on."},
+      {"watch.overload_factor", "watch.overload_factor", kNumber, 0, 100, "", kAtRestart, "",
+       "return.overload_factor for the second instance; left out: the value in force.",
+       "Use it with watch.on."},
+      {"watch.fall", "watch.fall", kDuration, 1, kHour, "", kAtRestart, "",
+       "return.fall for the second instance; left out: the value in force.", "Use it with watch.on."},
       // ---- the program
-      {"log.level", "operator.log.level", kWord, 0, 0, "info", kRun, "debug|info|warning|error",
-       "The least level that is written.",
-       "\"debug\" while looking for what became of single messages or clients."},
-      {"log.format", "operator.log.format", kWord, 0, 0, "text", kRun, "text|json",
-       "Words for people, or one JSON object a line.", "\"json\" where a collector reads it."},
-      {"log.lines_per_second", "operator.log.lines_per_second", kInteger, 1, 100000, "100", kRun, "",
-       "Most lines of one event in a second; the rest is counted.", "Raise it with \"debug\" under load."},
-      {"control.socket", "operator.control.socket", kText, 0, 64, "", kStart, "",
+      {"log.level", "operator.log.level", kChoice, 0, 0, "info", kWhileRunning, "debug|info|warning|error",
+       "Lowest level that is written.",
+       "Use \"debug\" to find out what happened to single messages or clients."},
+      {"log.format", "operator.log.format", kChoice, 0, 0, "text", kWhileRunning, "text|json",
+       "Text for people, or one JSON object per line.", "Use \"json\" where a log collector reads it."},
+      {"log.lines_per_second", "operator.log.lines_per_second", kInteger, 1, 100000, "100", kWhileRunning, "",
+       "Most lines of one event per second; further ones are only counted.",
+       "Raise it with \"debug\" under load."},
+      {"control.socket", "operator.control.socket", kText, 0, 64, "", kAtRestart, "",
        "Name of the control socket within the state folder; empty: none.",
        "Set it to use `config apply`, `rollback` and `status`."},
-      {"change.trial", "operator.change.trial", kDuration, 100, kHour, "30s", kRun, "",
-       "How long a change is watched before it is kept.",
-       "Longer where traffic is thin: too little of it proves nothing."},
-      {"change.before", "operator.change.before", kDuration, 100, kHour, "60s", kRun, "",
-       "The span before a change that its trial is compared with.",
-       "Shorter where the traffic changes within minutes."},
-      {"change.false_alarms", "operator.change.false_alarms", kNumber, 1e-9, 0.5, "0.001", kRun, "",
-       "Chance that one trial of a harmless change is undone.", "Lower it if harmless changes are undone."},
+      {"change.trial", "operator.change.trial", kDuration, 100, kHour, "30s", kWhileRunning, "",
+       "How long a change is on trial before it is kept.",
+       "Lengthen it where there is little traffic: too few messages prove nothing."},
+      {"change.before", "operator.change.before", kDuration, 100, kHour, "60s", kWhileRunning, "",
+       "Length of the span before a change with which its trial is compared.",
+       "Shorten it where the traffic changes within minutes."},
+      {"change.false_alarms", "operator.change.false_alarms", kNumber, 1e-9, 0.5, "0.001", kWhileRunning, "",
+       "Probability that a harmless change is undone in its trial.",
+       "Lower it if harmless changes are undone."},
   };
   return rows;
 }
--- a/src/config/schema_platform.cpp
+++ b/src/config/schema_platform.cpp
@@ -1,4 +1,5 @@
-// The schema of the platform's document: what the operator's file has too, and what the platform alone tells.
+// The schema of the platform's document: the settings that the operator's file has too, and those that only
+// the platform gives.
 #include <algorithm>
 #include <string_view>
 
@@ -8,42 +9,42 @@
 namespace indigosaddle::config {
 namespace {
 
-using enum Type;
-constexpr double kMany = 1e6;
-constexpr PlatformRule kMust{Presence::kRequired, false}, kMustOverZero{Presence::kRequired, true};
-
-// These go before an item of the operator's file with the same place in the platform's document.
-const std::vector<Item>& PlatformRows() {
-  static const std::vector<Item> rows = {
-      {"", "limits.cores", kNumber, 0, kMany, "", Change::kRestart, "",
-       "Cores that the node's processes share.", "", kMustOverZero},
-      {"", "settings.zone", kInteger, 0, kMany, "", Change::kRestart, "",
-       "The node's zone, by its place in zones.", "", kMust},
-      {"", "settings.familyInfo.perCall[]", kInteger, 0, kMany, "", Change::kRestart, "",
-       "Messages that one call may carry, by kind.", "", kMust},
+using enum ValueType;
+constexpr double kMillion = 1e6;
+constexpr PlatformRule kRequired{Presence::kRequired, false}, kRequiredPositive{Presence::kRequired, true};
+
+// A row here replaces the row of the operator's file with the same path in the platform's document.
+const std::vector<Setting>& PlatformRows() {
+  static const std::vector<Setting> rows = {
+      {"", "limits.cores", kNumber, 0, kMillion, "", TakesEffect::kAtRestart, "",
+       "Cores that the node's processes share.", "", kRequiredPositive},
+      {"", "settings.zone", kInteger, 0, kMillion, "", TakesEffect::kAtRestart, "",
+       "The node's zone, as an index into zones.", "", kRequired},
+      {"", "settings.familyInfo.perCall[]", kInteger, 0, kMillion, "", TakesEffect::kAtRestart, "",
+       "Messages that one call may carry, for each kind.", "", kRequired},
   };
   return rows;
 }
 
-bool OfThePlatform(const Item& item) {
-  const std::string_view told = item.told;
-  return !told.starts_with("operator.") && !told.starts_with("watch.");
+bool IsGivenByPlatform(const Setting& setting) {
+  const std::string_view path = setting.platform_path;
+  return !path.starts_with("operator.") && !path.starts_with("watch.");
 }
 
 }  // namespace
 
-const std::vector<Item>& PlatformSchema() {
-  static const std::vector<Item> items = [] {
-    std::vector<Item> all = PlatformRows();
-    for (const Item& item : Schema()) {
-      const bool replaced = std::any_of(PlatformRows().begin(), PlatformRows().end(), [&](const Item& row) {
-        return std::string_view(row.told) == item.told;
-      });
-      if (OfThePlatform(item) && !replaced) all.push_back(item);
+const std::vector<Setting>& PlatformSchema() {
+  static const std::vector<Setting> settings = [] {
+    std::vector<Setting> all = PlatformRows();
+    for (const Setting& setting : Schema()) {
+      const bool replaced = std::any_of(
+          PlatformRows().begin(), PlatformRows().end(),
+          [&](const Setting& row) { return std::string_view(row.platform_path) == setting.platform_path; });
+      if (IsGivenByPlatform(setting) && !replaced) all.push_back(setting);
     }
     return all;
   }();
-  return items;
+  return settings;
 }
 
 }  // namespace indigosaddle::config
--- a/src/config/schema_rows.h
+++ b/src/config/schema_rows.h
@@ -1,4 +1,4 @@
-// The parts of the schema's table, by section. Schema() (schema.h) puts them together in this order.
+// The parts of the table of settings. Schema() in schema.h joins them in this order.
 #pragma once
 
 #include <vector>
@@ -7,8 +7,8 @@
 
 namespace indigosaddle::config {
 
-const std::vector<Item>& NodeRows();
-const std::vector<Item>& ListRows();
-const std::vector<Item>& FleetRows();
+const std::vector<Setting>& NodeRows();   // the node, its limits, delivery, the return of a destination
+const std::vector<Setting>& ListRows();   // the lists, the watched settings, the program itself
+const std::vector<Setting>& FleetRows();  // the fleet: what nodes share
 
 }  // namespace indigosaddle::config
--- a/src/node/beginning.cpp
+++ b/src/node/beginning.cpp
@@ -21,8 +21,8 @@
 
 // The folder that the sources name; empty: none.
 std::string FolderOf(const config::Sources& sources) {
-  const config::Effective e = config::Combine(sources);
-  const json* told = config::At(e.merged, "state", 0);
+  const config::EffectiveConfig e = config::Combine(sources);
+  const json* told = config::ValueAt(e.merged, "state", 0);
   return told != nullptr && told->is_string() ? told->get<std::string>() : "";
 }
 
@@ -49,13 +49,13 @@
   std::string damaged;
   config::Store(folder, 0).Load(saved, damaged, true);
   if (!unusable.empty() && saved.kept == 0) throw ConfigError(unusable);
-  const std::string file = b.sources.operators.text;
+  const std::string file = b.sources.operators_file.text;
   b.history = config::HistoryAtStart(
       std::move(saved), file, config::Hash(file), unusable.empty(),
       std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch()));
   const config::Generation& kept = *b.history.Find(b.history.kept);
-  b.sources.operators.text = kept.document;
-  if (kept.document != file) b.sources.operators.name = fmt::format("generation {}", kept.number);
+  b.sources.operators_file.text = kept.document;
+  if (kept.document != file) b.sources.operators_file.name = fmt::format("generation {}", kept.number);
   b.config = MakeConfig(b.sources);
   b.trouble = unusable;
   if (!damaged.empty()) b.trouble += (b.trouble.empty() ? "" : "; ") + damaged;
@@ -103,11 +103,12 @@
   std::vector<config::Fault> faults = parsed.faults;
   // One that no node could serve by is no measure of another.
   if (faults.empty()) {
-    const auto below = sources.operators.given ? config::Below::kOperatorsFile : config::Below::kNothing;
+    const auto below =
+        sources.operators_file.given ? config::BaseLayer::kOperatorsFile : config::BaseLayer::kNone;
     faults = config::CheckPlatformDocument(parsed.value, kLastGoodName, below);
   }
   if (!faults.empty()) return config::ToText(faults, "; ");
-  sources.in_force = {true, kLastGoodName, *text};
+  sources.platform_in_force = {true, kLastGoodName, *text};
   return "";
 }
 
@@ -117,7 +118,7 @@
     config::Sources sources = ReadSources(environment, operators_path);
     const std::string damaged = HoldAgainstLastGood(sources);
     Beginning beginning = BeginWith(std::move(sources), operators_path, step);
-    beginning.sources.in_force = {};
+    beginning.sources.platform_in_force = {};
     if (!damaged.empty()) beginning.trouble += (beginning.trouble.empty() ? "" : "; ") + damaged;
     return beginning;
   } catch (const ConfigError& error) {
--- a/src/node/changes.cpp
+++ b/src/node/changes.cpp
@@ -34,7 +34,7 @@
       first_trouble_(std::move(beginning.trouble)),
       due_(loop, [this] { Feed(config::TimerFired{loop_.Now()}); }),
       look_(loop, [this] { Look(); }) {
-  if (sources_.operators.given) {
+  if (sources_.operators_file.given) {
     store_ =
         std::make_unique<config::Store>(beginning.config.state_folder, beginning.config.disk_bytes, step_);
   }
@@ -45,7 +45,7 @@
   if (sources_.platform.given) log_.Write(base::kConfigStartsWith, DocumentInForce(), sources_.platform.name);
   KeepLastGood();
   if (store_ == nullptr) return;
-  log_.Write(base::kConfigServes, first_history_.kept, sources_.operators.name);
+  log_.Write(base::kConfigServes, first_history_.kept, sources_.operators_file.name);
   Feed(config::Started{std::move(first_history_), loop_.Now()});
 }
 
@@ -73,9 +73,9 @@
   }
   // The platform's word first. It is a fact and not on trial: undoing it would leave the node at an address
   // that is gone.
-  const std::string file = std::exchange(next.operators.text, sources_.operators.text);
-  const std::string name = std::exchange(next.operators.name, sources_.operators.name);
-  next.in_force = sources_.platform;
+  const std::string file = std::exchange(next.operators_file.text, sources_.operators_file.text);
+  const std::string name = std::exchange(next.operators_file.name, sources_.operators_file.name);
+  next.platform_in_force = sources_.platform;
   bool changed = false;
   try {
     const Config told = MakeConfig(next);
@@ -143,8 +143,8 @@
   auto next = Judge(e.document, faults, e.undo);
   std::string trouble;
   if (next) {
-    sources_.operators.text = e.document;
-    sources_.operators.name = fmt::format("generation {}", e.number);
+    sources_.operators_file.text = e.document;
+    sources_.operators_file.name = fmt::format("generation {}", e.number);
     // What the change does in its first turn, such as handing back for want of room, is part of its trial.
     if (!e.undo) guard_.Begin(loop_.Now());
     owner_.Adopt(Changed(owner_.running(), *next));
--- a/src/node/changes_judging.cpp
+++ b/src/node/changes_judging.cpp
@@ -27,8 +27,8 @@
 std::optional<Config> Changes::Judge(const std::string& document, std::vector<std::string>& faults,
                                      bool undo) const {
   config::Sources sources = sources_;
-  sources.operators.text = document;
-  sources.operators.name = "change";
+  sources.operators_file.text = document;
+  sources.operators_file.name = "change";
   const Config& running = owner_.running();
   Config next;
   try {
--- a/src/node/changes_requests.cpp
+++ b/src/node/changes_requests.cpp
@@ -14,8 +14,9 @@
 
 std::string Ask(const json& request, const char* name) {
   const auto it = request.find(name);
-  return it != request.end() && it->is_string() ? it->get<std::string>().substr(0, config::kMostDocument + 1)
-                                                : "";
+  return it != request.end() && it->is_string()
+             ? it->get<std::string>().substr(0, config::kMaxDocumentBytes + 1)
+             : "";
 }
 
 // What is asked, but can't be done as it is written; empty: nothing.
@@ -60,8 +61,8 @@
     answer({{"ok", true}, {"generations", config::HistoryAsJson(transactions_.history())}});
   } else if (op == "show") {
     json all = json::array();
-    for (const config::Shown& shown : owner_.running().shown) {
-      all.push_back({{"path", shown.path}, {"value", shown.value}, {"from", shown.from}});
+    for (const config::ShownValue& shown : owner_.running().shown) {
+      all.push_back({{"path", shown.path}, {"value", shown.value}, {"from", shown.source}});
     }
     answer({{"ok", true}, {"values", all}});
   } else {
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -23,16 +23,16 @@
 }  // namespace
 
 Config MakeConfig(const config::Sources& sources) {
-  config::Effective e = config::Combine(sources);
-  if (sources.operators.given && e.platform_usable) CheckWhole(e), CheckFleet(e);
+  config::EffectiveConfig e = config::Combine(sources);
+  if (sources.operators_file.given && e.platform_usable) CheckWhole(e), CheckFleet(e);
   std::stable_sort(e.faults.begin(), e.faults.end(), [](const config::Fault& a, const config::Fault& b) {
-    return std::pair(a.at.line, a.at.column) < std::pair(b.at.line, b.at.column);
+    return std::pair(a.location.line, a.location.column) < std::pair(b.location.line, b.location.column);
   });
   if (!e.faults.empty()) throw ConfigError(config::ToText(e.faults, "\n"));
-  const std::string& name = sources.platform.given ? e.platform_name : e.operators_name;
+  const std::string& name = sources.platform.given ? e.platform_name : e.operators_file_name;
   try {
     Config config = FromMerged(e.merged);
-    if (sources.operators.given) ReadOperators(e.merged, config);
+    if (sources.operators_file.given) ReadOperators(e.merged, config);
     config.shown = config::ShowAll(e);
     return config;
   } catch (const ConfigError& error) {
@@ -47,7 +47,7 @@
 config::Sources ReadSources(const std::map<std::string, std::string>& environment,
                             const std::string& operators_path) {
   config::Sources sources{{}, {}, environment};
-  if (!operators_path.empty()) sources.operators = {true, operators_path, ReadFile(operators_path)};
+  if (!operators_path.empty()) sources.operators_file = {true, operators_path, ReadFile(operators_path)};
   const auto path = environment.find("EDGE_CONFIG");
   if (path != environment.end() && !path->second.empty()) {
     sources.platform = {true, path->second, ReadFile(path->second)};
--- a/src/node/config.h
+++ b/src/node/config.h
@@ -49,7 +49,7 @@
   config::GuardRules change;
   FleetConfig fleet;
   bool has_operators_file = false;
-  std::vector<config::Shown> shown;  // every value with where it came from
+  std::vector<config::ShownValue> shown;  // every value with where it came from
 };
 
 // The number of a name; -1: unknown.
--- a/src/node/config_change.cpp
+++ b/src/node/config_change.cpp
@@ -48,9 +48,9 @@
   CarryList(changed.classes, s.classes, next.classes, n.classes);
   CarryList(changed.tenants, s.tenants, next.tenants, n.tenants);
   changed.shown = next.shown;
-  for (config::Shown& shown : changed.shown) {  // what a restart alone changes shows as it runs
-    if (shown.change != config::Change::kRestart) continue;
-    for (const config::Shown& old : running.shown) {
+  for (config::ShownValue& shown : changed.shown) {  // what a restart alone changes shows as it runs
+    if (shown.takes_effect != config::TakesEffect::kAtRestart) continue;
+    for (const config::ShownValue& old : running.shown) {
       if (old.path == shown.path && shown.path.find('[') == std::string::npos) shown = old;
     }
   }
@@ -60,7 +60,7 @@
 std::vector<std::string> NeedRestart(const Config& running, const Config& next) {
   std::vector<std::string> paths;
   for (const config::Difference& difference : config::Differences(running.shown, next.shown)) {
-    if (difference.change == config::Change::kRestart && difference.path != "node.seed") {
+    if (difference.takes_effect == config::TakesEffect::kAtRestart && difference.path != "node.seed") {
       paths.push_back(difference.path);
     }
   }
--- a/src/node/config_fleet.cpp
+++ b/src/node/config_fleet.cpp
@@ -16,17 +16,17 @@
 constexpr double kLeastLeaseTimeouts = 5;  // a lease's questions need several round trips
 
 std::size_t Tables(const json& whole, const char* list) {
-  const json* tables = config::At(whole, list, 0);
+  const json* tables = config::ValueAt(whole, list, 0);
   return tables != nullptr && tables->is_array() ? tables->size() : 0;
 }
 
 std::string TextAt(const json& whole, const char* told, std::size_t index, const char* absent) {
-  const json* value = config::At(whole, told, index);
+  const json* value = config::ValueAt(whole, told, index);
   return value != nullptr && value->is_string() ? value->get<std::string>() : absent;
 }
 
 bool Votes(const json& whole, std::size_t index) {
-  const json* value = config::At(whole, "operator.peers[].votes", index);
+  const json* value = config::ValueAt(whole, "operator.peers[].votes", index);
   return value == nullptr || *value != json(false);
 }
 
@@ -35,7 +35,7 @@
   return net::ParseAddress(text, address) && !text.ends_with(":0");
 }
 
-void CheckSites(config::Effective& e) {
+void CheckSites(config::EffectiveConfig& e) {
   const auto say = [&](const std::string& path, const std::string& what) { Say(e, path, what); };
   std::set<std::string> of_peers, named, zones;
   for (std::size_t i = 0; i < Tables(e.merged, "operator.peers"); ++i)
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-void CheckFleet(config::Effective& e) {
+void CheckFleet(config::EffectiveConfig& e) {
   const json& whole = e.merged;
   const auto say = [&](const std::string& path, const std::string& what) { Say(e, path, what); };
   std::set<std::string> names, addresses;
@@ -107,7 +107,7 @@
   fleet.pace.exchange_every = time("operator.fleet.exchange_every");
   fleet.pace.lease = time("operator.fleet.lease");
   fleet.pace.drift = number("operator.fleet.clock_drift");
-  fleet.count_senders = config::At(whole, "operator.fleet.count_senders", 0)->get<bool>();
+  fleet.count_senders = config::ValueAt(whole, "operator.fleet.count_senders", 0)->get<bool>();
   fleet.sites.accusing_share = number("operator.fleet.site_agree");
   fleet.sites.return_hold = time("operator.fleet.site_hold");
   fleet.sites.max_return_hold = std::max(fleet.sites.return_hold, time("operator.fleet.site_hold_most"));
--- a/src/node/config_operators.cpp
+++ b/src/node/config_operators.cpp
@@ -12,20 +12,23 @@
 
 using nlohmann::json;
 
-void Say(config::Effective& e, const std::string& path, const std::string& what) {
-  const auto it = e.operators.places.find(path);
-  e.faults.push_back(
-      {e.operators_name, it == e.operators.places.end() ? config::Place{} : it->second, path, what});
+void Say(config::EffectiveConfig& e, const std::string& path, const std::string& what) {
+  const auto it = e.operators_file.locations.find(path);
+  e.faults.push_back({e.operators_file_name,
+                      it == e.operators_file.locations.end() ? config::SourceLocation{} : it->second, path,
+                      what});
 }
 
-double NumberAt(const json& whole, const char* told) { return config::At(whole, told, 0)->get<double>(); }
+double NumberAt(const json& whole, const char* told) {
+  return config::ValueAt(whole, told, 0)->get<double>();
+}
 
 Micros TimeAt(const json& whole, const char* told) {
   return Micros(std::llround(NumberAt(whole, told) * 1000));
 }
 
 void ReadOperators(const json& whole, Config& config) {
-  const auto text = [&](const char* at) { return config::At(whole, at, 0)->get<std::string>(); };
+  const auto text = [&](const char* at) { return config::ValueAt(whole, at, 0)->get<std::string>(); };
   const auto number = [&](const char* at) { return NumberAt(whole, at); };
   const auto time = [&](const char* at) { return TimeAt(whole, at); };
   config.has_operators_file = true;
@@ -37,7 +40,7 @@
   }
   config.log.form = text("operator.log.format") == "json" ? base::Form::kJson : base::Form::kText;
   config.log.lines_per_second = static_cast<int>(number("operator.log.lines_per_second"));
-  if (config::At(whole, "operator.control.socket", 0) != nullptr)
+  if (config::ValueAt(whole, "operator.control.socket", 0) != nullptr)
     config.control_socket = text("operator.control.socket");
   config.change.trial = time("operator.change.trial");
   config.change.baseline = time("operator.change.before");
@@ -45,23 +48,23 @@
   ReadFleet(whole, config.fleet);
 }
 
-void CheckWhole(config::Effective& e) {
+void CheckWhole(config::EffectiveConfig& e) {
   const auto say = [&](const char* path, const std::string& what) { Say(e, path, what); };
   for (const char* path : {"node.name", "node.listen", "node.discovery", "node.state"}) {
-    const config::Item& item = *config::Find(path);
-    const json* value = config::At(e.merged, item.told, 0);
+    const config::Setting& item = *config::FindSetting(path);
+    const json* value = config::ValueAt(e.merged, item.platform_path, 0);
     sockaddr_storage address{};
     if (value == nullptr) {
-      say(path, "is missing; expected " + config::Expected(item));
-    } else if (item.type == config::Type::kAddress &&
+      say(path, "is missing; expected " + config::DescribeExpected(item));
+    } else if (item.type == config::ValueType::kAddress &&
                (!value->is_string() || !net::ParseAddress(value->get<std::string>(), address))) {
-      say(path, value->dump() + "; expected " + config::Expected(item));
+      say(path, value->dump() + "; expected " + config::DescribeExpected(item));
     }
   }
-  const json* classes = config::At(e.merged, "settings.classes", 0);
+  const json* classes = config::ValueAt(e.merged, "settings.classes", 0);
   if (classes == nullptr || !classes->is_array() || classes->empty())
     say("classes", "expected at least one [[classes]]");
-  const json* seed = config::At(e.merged, "seed", 0);
+  const json* seed = config::ValueAt(e.merged, "seed", 0);
   if (seed == nullptr) {
     e.merged["seed"] = fmt::format("{:x}{:08x}", std::random_device()(), std::random_device()());
   } else if (!seed->is_string() ||
--- a/src/node/config_platform.cpp
+++ b/src/node/config_platform.cpp
@@ -68,23 +68,23 @@
     faults += fmt::format("{}watch.{}: expected {}", faults.empty() ? "" : "\n", name, expected);
   };
   for (const auto& [name, value] : watch.items()) {
-    const config::Item* item = config::Find("watch." + name);
-    const bool number = value.is_number() && item != nullptr && value.get<double>() >= item->least &&
-                        value.get<double>() <= item->most;
+    const config::Setting* item = config::FindSetting("watch." + name);
+    const bool number = value.is_number() && item != nullptr && value.get<double>() >= item->min &&
+                        value.get<double>() <= item->max;
     if (item == nullptr) {
       fault(name, "no such name");
-    } else if (item->type == config::Type::kFlag) {
-      if (!value.is_boolean()) fault(name, config::Expected(*item));
+    } else if (item->type == config::ValueType::kFlag) {
+      if (!value.is_boolean()) fault(name, config::DescribeExpected(*item));
       if (value.is_boolean() && name == "on") watched.on = value.get<bool>();
       if (value.is_boolean() && name == "retry_advice") watched.retry_advice = value.get<bool>();
-    } else if (item->type == config::Type::kWord) {
+    } else if (item->type == config::ValueType::kChoice) {
       const std::map<std::string, Weights> words = {
           {"off", Weights::kNone}, {"nominal", Weights::kNominal}, {"rough", Weights::kRough}};
       const auto word = value.is_string() ? words.find(value.get<std::string>()) : words.end();
       word == words.end() ? fault(name, "\"off\" or \"nominal\" or \"rough\"")
                           : void(watched.weights = word->second);
-    } else if (!number || (item->type == config::Type::kInteger && !value.is_number_integer())) {
-      fault(name, config::Expected(*item));
+    } else if (!number || (item->type == config::ValueType::kInteger && !value.is_number_integer())) {
+      fault(name, config::DescribeExpected(*item));
     } else if (name == "connection_price") {
       watched.price_handshake = value.get<double>();
     } else if (name == "overload_factor") {
--- a/src/node/config_read.h
+++ b/src/node/config_read.h
@@ -17,10 +17,10 @@
 
 // What a file of the operator's own must say, and cannot be said by a range alone, as further faults; and a
 // seed, where it has none.
-void CheckWhole(config::Effective& effective);
+void CheckWhole(config::EffectiveConfig& effective);
 
 // A fault at a path of the operator's file, with its place there.
-void Say(config::Effective& effective, const std::string& path, const std::string& what);
+void Say(config::EffectiveConfig& effective, const std::string& path, const std::string& what);
 
 // A number, and a duration, that the schema has checked and given its default.
 double NumberAt(const nlohmann::json& whole, const char* told);
@@ -30,7 +30,7 @@
 void ReadOperators(const nlohmann::json& whole, Config& config);
 
 // The same two for what processes share.
-void CheckFleet(config::Effective& effective);
+void CheckFleet(config::EffectiveConfig& effective);
 void ReadFleet(const nlohmann::json& whole, FleetConfig& fleet);
 
 }  // namespace indigosaddle::node
--- a/src/node/config_settings.cpp
+++ b/src/node/config_settings.cpp
@@ -22,7 +22,7 @@
   explicit SettingsReader(const json& whole) : whole_(whole) {}
 
   std::size_t Count(const char* list) const {
-    const json* value = config::At(whole_, list, 0);
+    const json* value = config::ValueAt(whole_, list, 0);
     return value != nullptr && value->is_array() ? value->size() : 0;
   }
   double Number(const char* path, std::size_t index = 0) const { return At<double>(path, index); }
@@ -34,7 +34,7 @@
     return Micros(std::llround(At<double>(path, index) * kMicrosPerMilli));
   }
   bool Has(const char* path, std::size_t index = 0) const {
-    return config::At(whole_, path, index) != nullptr;
+    return config::ValueAt(whole_, path, index) != nullptr;
   }
   template <typename Value>
   Value Word(const char* path, const std::map<std::string, Value>& words, std::size_t index = 0) const {
@@ -47,7 +47,7 @@
   // The schema has found its faults already: what is thrown here is a hole in the schema.
   template <typename Value>
   Value At(const char* path, std::size_t index) const {
-    const json* value = config::At(whole_, path, index);
+    const json* value = config::ValueAt(whole_, path, index);
     if (value == nullptr) throw ConfigError(fmt::format("{}: is missing", path));
     try {
       return value->get<Value>();
--- a/tests/config/fleet_config_test.cpp
+++ b/tests/config/fleet_config_test.cpp
@@ -1,5 +1,5 @@
-// What an operator's file says wrongly of the fleet: every fault with its place, and nothing at all without
-// one.
+// The fleet's part of an operator's file: it is read as a whole, and each fault in it is reported with its
+// location.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,23 +9,25 @@
 namespace indigosaddle::node {
 namespace {
 
-const std::string kNode =
+const std::string kRequiredSections =
     "[node]\nname = \"a\"\nlisten = \"127.0.0.1:0\"\ndiscovery = \"127.0.0.1:9\"\nstate = \"/tmp\"\n"
     "[[classes]]\nname = \"n\"\n[[zones]]\nname = \"z\"\n";
 
-Config Read(const std::string& fleet) { return MakeConfig({{true, "f.toml", kNode + fleet}, {}, {}}); }
+Config MakeFleetConfig(const std::string& fleet) {
+  return MakeConfig({{true, "f.toml", kRequiredSections + fleet}, {}, {}});
+}
 
-std::string Faults(const std::string& fleet) {
+std::string FaultsOf(const std::string& fleet) {
   try {
-    Read(fleet);
+    MakeFleetConfig(fleet);
   } catch (const ConfigError& error) {
     return error.what();
   }
   return "";
 }
 
-TEST(FleetConfigTest, IsReadWhole) {
-  const Config config = Read(
+TEST(FleetConfigTest, EverySettingIsRead) {
+  const Config config = MakeFleetConfig(
       "[fleet]\nlisten = \"127.0.0.1:7946\"\nprobe_every = \"2s\"\nlease = \"12s\"\nclock_drift = 0.02\n"
       "count_senders = true\nsite_agree = 0.8\n[[peers]]\nname = \"a\"\nsite = \"s\"\naddress = "
       "\"127.0.0.1:7946\"\n"
@@ -41,27 +43,29 @@
   EXPECT_EQ(config.fleet.zones.at("s"), "z");
 }
 
-TEST(FleetConfigTest, IsOffWithoutAnAddress) {
-  EXPECT_TRUE(Read("[[peers]]\nname = \"b\"\naddress = \"127.0.0.2:7946\"\n").fleet.listen.empty());
+TEST(FleetConfigTest, WithoutAListenAddressTheFleetIsOff) {
+  EXPECT_TRUE(
+      MakeFleetConfig("[[peers]]\nname = \"b\"\naddress = \"127.0.0.2:7946\"\n").fleet.listen.empty());
 }
 
-// The platform's JSON can't switch it on, whatever it says.
-TEST(FleetConfigTest, ThePlatformCannotSwitchItOn) {
+// The platform's JSON is merged over the operator's file, but its "operator" part must be ignored.
+TEST(FleetConfigTest, ThePlatformCannotSwitchTheFleetOn) {
   const std::string platform =
       "{\"operator\": {\"fleet\": {\"listen\": \"127.0.0.1:7946\"}, \"peers\": [{\"name\": \"a\", "
       "\"address\": "
       "\"127.0.0.1:7946\"}]}}";
-  EXPECT_TRUE(MakeConfig({{true, "f.toml", kNode}, {true, "p.json", platform}, {}}).fleet.listen.empty());
+  EXPECT_TRUE(
+      MakeConfig({{true, "f.toml", kRequiredSections}, {true, "p.json", platform}, {}}).fleet.listen.empty());
 }
 
-TEST(FleetConfigTest, EveryFaultIsSaidWithItsPlace) {
-  const std::string faults = Faults(
+TEST(FleetConfigTest, EveryFaultIsReportedWithItsLocation) {
+  const std::string faults = FaultsOf(
       "[fleet]\nlisten = \"here\"\nprobe_timeout = \"2s\"\nlease = \"3s\"\n"
       "[[peers]]\nname = \"b\"\naddress = \"127.0.0.1:0\"\nvotes = false\n"
       "[[peers]]\nname = \"b\"\naddress = \"127.0.0.2:7\"\nvotes = false\n"
       "[[peers]]\nname = \"c\"\naddress = \"127.0.0.2:7\"\nvotes = false\n"
       "[[sites]]\nname = \"nowhere\"\nzone = \"none\"\n");
-  for (const char* said :
+  for (const char* expected :
        {"f.toml:11:10: fleet.listen: \"here\"; expected \"ip:port\"",
         "no [[peers]] has this node's name, \"a\"", "no [[peers]] votes",
         "f.toml:12:17: fleet.probe_timeout: is no shorter than fleet.probe_every",
@@ -70,10 +74,10 @@
         "f.toml:24:11: peers[2].address: \"127.0.0.2:7\" is another peer's as well",
         "f.toml:27:8: sites[0].name: \"nowhere\"; expected the site of one of [[peers]]",
         "f.toml:28:8: sites[0].zone: \"none\"; expected the name of one of [[zones]]"}) {
-    EXPECT_NE(faults.find(said), std::string::npos) << said << "\nin\n" << faults;
+    EXPECT_NE(faults.find(expected), std::string::npos) << expected << "\nin\n" << faults;
   }
   EXPECT_NE(
-      Faults("[fleet]\nlease = \"soon\"\n").find("f.toml:11:9: fleet.lease: \"soon\"; expected a duration"),
+      FaultsOf("[fleet]\nlease = \"soon\"\n").find("f.toml:11:9: fleet.lease: \"soon\"; expected a duration"),
       std::string::npos);
 }
 
--- a/tests/config/layers_test.cpp
+++ b/tests/config/layers_test.cpp
@@ -1,4 +1,5 @@
-// The sources of the configuration over one another: what is in force, and what differs.
+// How the sources of the configuration are combined: which value is in force, and what differs between two
+// configurations.
 #include "config/layers.h"
 
 #include <gtest/gtest.h>
@@ -7,21 +8,22 @@
 
 #include <set>
 
-#include "good_document.h"
 #include "node/config.h"
+#include "operators_file.h"
 
 namespace indigosaddle::config {
 namespace {
 
 using nlohmann::json;
 
-TEST(Layers, TheLaterSourceGoesBeforeTheEarlier) {
-  Sources sources{
-      {true, "f.toml", kGood}, {}, {{"EDGE_LISTEN", "127.0.0.9:1"}, {"EDGE_DISCOVERY", "127.0.0.9:2"}}};
+TEST(Layers, ALaterSourceOverridesAnEarlierOne) {
+  Sources sources{{true, "f.toml", kOperatorsToml},
+                  {},
+                  {{"EDGE_LISTEN", "127.0.0.9:1"}, {"EDGE_DISCOVERY", "127.0.0.9:2"}}};
   const auto shown = [&](const char* path) {
     const auto all = node::MakeConfig(sources).shown;
-    for (const Shown& one : all) {
-      if (one.path == path) return one.value + " from " + one.from;
+    for (const ShownValue& value : all) {
+      if (value.path == path) return value.value + " from " + value.source;
     }
     return std::string("not shown");
   };
@@ -36,49 +38,54 @@
                           "settings":{"familyInfo":{"callSlots":5}}})"};
   EXPECT_EQ(shown("delivery.call_slots"), "5 from p.json");
   EXPECT_EQ(shown("delivery.holding_room"), "100 from f.toml:9");
-  EXPECT_EQ(shown("node.discovery"),
-            "127.0.0.1:3 from p.json");                // the platform's file may change, its environment not
-  EXPECT_EQ(shown("log.level"), "info from default");  // the platform has no word in the operator's part
+  // The platform's file may change while the node runs; its environment may not.
+  EXPECT_EQ(shown("node.discovery"), "127.0.0.1:3 from p.json");
+  // The "operator" part of the platform's file is ignored.
+  EXPECT_EQ(shown("log.level"), "info from default");
 }
 
-// What the move added: left out, the node decides as before; given, in both forms; what is wrong is named.
-TEST(NewShape, SettingsComeFromBothFormsAndTheirAbsenceChangesNothing) {
-  const node::Config plain = node::MakeConfig({{true, "f.toml", kGood}, {}, {}});
-  EXPECT_EQ(plain.settings.weights, Weights::kNone);
-  EXPECT_TRUE(plain.settings.retry_advice);
-  EXPECT_EQ(plain.settings.price_handshake, 0);
-  EXPECT_FALSE(plain.watched.on);
-  const auto edited = [](const std::string& more, const std::string& end) {
-    std::string text = kGood + end;
-    return text.insert(text.find("[delivery]\n") + 11, more);
+// The settings of delivery.weights, retry_advice and connection_price and of [watch]: left out, they change
+// nothing; both the operator's file and the platform's JSON can give them.
+TEST(WeightsPriceAndWatch, BothFormsGiveThemAndWithoutThemNothingChanges) {
+  const node::Config default_config = node::MakeConfig({{true, "f.toml", kOperatorsToml}, {}, {}});
+  EXPECT_EQ(default_config.settings.weights, Weights::kNone);
+  EXPECT_TRUE(default_config.settings.retry_advice);
+  EXPECT_EQ(default_config.settings.price_handshake, 0);
+  EXPECT_FALSE(default_config.watched.on);
+  const auto edited = [](const std::string& delivery_lines, const std::string& sections) {
+    std::string text = kOperatorsToml + sections;
+    return text.insert(text.find("[delivery]\n") + 11, delivery_lines);
   };
-  const node::Config own =
+  const node::Config file_config =
       node::MakeConfig({{true, "f.toml",
                          edited("weights = \"rough\"\nconnection_price = 0.02\n",
                                 "[watch]\non = true\nweights = \"none\"\nfall = \"1500ms\"\nsenders = 9\n")},
                         {},
                         {}});
-  EXPECT_EQ(own.settings.weights, Weights::kRough);
-  EXPECT_EQ(own.settings.price_handshake, 0.02);
-  EXPECT_TRUE(own.watched.on);
-  EXPECT_EQ(own.watched.weights, Weights::kNone);
-  EXPECT_EQ(own.watched.fall, std::chrono::milliseconds(1500));
-  EXPECT_EQ(own.watched.Over(own.settings).senders, 9);
-  EXPECT_EQ(own.watched.Over(own.settings).price_handshake, 0.02);  // not given: as in force
+  EXPECT_EQ(file_config.settings.weights, Weights::kRough);
+  EXPECT_EQ(file_config.settings.price_handshake, 0.02);
+  EXPECT_TRUE(file_config.watched.on);
+  EXPECT_EQ(file_config.watched.weights, Weights::kNone);
+  EXPECT_EQ(file_config.watched.fall, std::chrono::milliseconds(1500));
+  EXPECT_EQ(file_config.watched.Over(file_config.settings).senders, 9);
+  EXPECT_EQ(file_config.watched.Over(file_config.settings).price_handshake,
+            0.02);  // left out: the value in force
   const std::string platform =
       R"({"settings":{"weightKind":"nominal","caps":{"retryAfter":false},"prices":{"handshake":0.06}},
           "watch":{"on":true,"weights":"off","retry_advice":true,"max_attempts":6}})";
-  const node::Config told = node::MakeConfig({{true, "f.toml", kGood}, {true, "p.json", platform}, {}});
-  EXPECT_EQ(told.settings.weights, Weights::kNominal);
-  EXPECT_FALSE(told.settings.retry_advice);
-  EXPECT_EQ(told.settings.price_handshake, 0.06);
-  EXPECT_EQ(told.watched.weights, Weights::kNone);
-  EXPECT_EQ(told.watched.max_attempts, 6);
-  EXPECT_EQ(node::Changed(plain, told).settings.weights, Weights::kNominal);  // while it runs, and back
-  EXPECT_EQ(node::Changed(told, plain).settings.weights, Weights::kNone);
+  const node::Config platform_config =
+      node::MakeConfig({{true, "f.toml", kOperatorsToml}, {true, "p.json", platform}, {}});
+  EXPECT_EQ(platform_config.settings.weights, Weights::kNominal);
+  EXPECT_FALSE(platform_config.settings.retry_advice);
+  EXPECT_EQ(platform_config.settings.price_handshake, 0.06);
+  EXPECT_EQ(platform_config.watched.weights, Weights::kNone);
+  EXPECT_EQ(platform_config.watched.max_attempts, 6);
+  // The weights may change while the node runs, in both directions.
+  EXPECT_EQ(node::Changed(default_config, platform_config).settings.weights, Weights::kNominal);
+  EXPECT_EQ(node::Changed(platform_config, default_config).settings.weights, Weights::kNone);
 }
 
-TEST(NewShape, WhatIsWrongIsNamedInBothForms) {
+TEST(WeightsPriceAndWatch, FaultsAreNamedInBothForms) {
   const auto faults = [](const std::string& toml, const std::string& platform) -> std::string {
     try {
       node::MakeConfig({{true, "f.toml", toml}, {!platform.empty(), "p.json", platform}, {}});
@@ -87,65 +94,73 @@
     }
     return "";
   };
-  const auto own = [](const std::string& more) {
-    std::string text = kGood;
-    return text.insert(text.find("[delivery]\n") + 11, more);
+  const auto edited = [](const std::string& delivery_lines) {
+    std::string text = kOperatorsToml;
+    return text.insert(text.find("[delivery]\n") + 11, delivery_lines);
   };
-  for (const auto& [more, says] : std::vector<std::pair<std::string, std::string>>{
+  for (const auto& [lines, expected] : std::vector<std::pair<std::string, std::string>>{
            {"weights = \"heavy\"\n", "f.toml:8:11: delivery.weights"},
            {"weights = 3\n", "f.toml:8:11: delivery.weights"},
            {"retry_advice = \"no\"\n", "delivery.retry_advice"},
            {"connection_price = -1\n", "delivery.connection_price"},
            {"retry_advice = false\nmax_retry_after = \"2s\"\n", "no client would hear it"}}) {
-    EXPECT_NE(faults(own(more), "").find(says), std::string::npos) << more << ": " << faults(own(more), "");
+    EXPECT_NE(faults(edited(lines), "").find(expected), std::string::npos)
+        << lines << ": " << faults(edited(lines), "");
   }
-  EXPECT_NE(faults(kGood + "[watch]\non = 1\nfall = \"0s\"\n", "").find("watch.on"), std::string::npos);
-  EXPECT_NE(faults(kGood + "[watch]\non = 1\nfall = \"0s\"\n", "").find("watch.fall"), std::string::npos);
-  const std::string bad = faults(kGood, R"({"watch":{"on":"yes","weights":"heavy","senders":0,"rest":1}})");
+  EXPECT_NE(faults(kOperatorsToml + "[watch]\non = 1\nfall = \"0s\"\n", "").find("watch.on"),
+            std::string::npos);
+  EXPECT_NE(faults(kOperatorsToml + "[watch]\non = 1\nfall = \"0s\"\n", "").find("watch.fall"),
+            std::string::npos);
+  const std::string bad =
+      faults(kOperatorsToml, R"({"watch":{"on":"yes","weights":"heavy","senders":0,"rest":1}})");
   for (const char* name : {"watch.on", "watch.weights", "watch.senders", "watch.rest"})
     EXPECT_NE(bad.find(name), std::string::npos) << bad;
-  EXPECT_NE(faults(kGood, R"({"settings":{"weightKind":"heavy"}})").find("weightKind"), std::string::npos);
+  EXPECT_NE(faults(kOperatorsToml, R"({"settings":{"weightKind":"heavy"}})").find("weightKind"),
+            std::string::npos);
 }
 
-TEST(Layers, TablesAreComparedByNameNotByPlace) {
+TEST(Layers, TablesAreComparedByNameNotByIndex) {
   const auto shown = [](const std::string& text) {
     return node::MakeConfig({{true, "f", text}, {}, {}}).shown;
   };
-  const std::string more = kGood + "[[classes]]\nname = \"extra\"\naim = \"1s\"\ndeadline = \"2s\"\n";
-  std::string first = kGood;
-  first.insert(first.find("[[classes]]"), "[[classes]]\nname = \"extra\"\naim = \"1s\"\ndeadline = \"2s\"\n");
-  EXPECT_TRUE(Differences(shown(more), shown(first)).empty());
-  for (const Difference& d : Differences(shown(kGood), shown(more)))
-    EXPECT_EQ(d.change, Change::kRunning) << d.path;
-  const auto effect = Differences(shown(kGood), shown(Edited("\"keyed\"\nkey_ttl = \"20s\"", "\"safe\"")));
+  const std::string added_last =
+      kOperatorsToml + "[[classes]]\nname = \"extra\"\naim = \"1s\"\ndeadline = \"2s\"\n";
+  std::string added_first = kOperatorsToml;
+  added_first.insert(added_first.find("[[classes]]"),
+                     "[[classes]]\nname = \"extra\"\naim = \"1s\"\ndeadline = \"2s\"\n");
+  EXPECT_TRUE(Differences(shown(added_last), shown(added_first)).empty());
+  for (const Difference& difference : Differences(shown(kOperatorsToml), shown(added_last)))
+    EXPECT_EQ(difference.takes_effect, TakesEffect::kWhileRunning) << difference.path;
+  const auto effect =
+      Differences(shown(kOperatorsToml), shown(Edited("\"keyed\"\nkey_ttl = \"20s\"", "\"safe\"")));
   ASSERT_EQ(effect.size(), 2u);
   EXPECT_EQ(effect[0].path, "classes[notice].effect");
-  EXPECT_EQ(effect[0].change, Change::kRunning);  // for messages born from then on
-  const auto fee = Differences(shown(kGood), shown(Edited("fee = 0.5", "fee = 0.7")));
+  EXPECT_EQ(effect[0].takes_effect, TakesEffect::kWhileRunning);  // for messages accepted from then on
+  const auto fee = Differences(shown(kOperatorsToml), shown(Edited("fee = 0.5", "fee = 0.7")));
   ASSERT_EQ(fee.size(), 1u);
-  EXPECT_EQ(fee[0].change, Change::kRestart);
+  EXPECT_EQ(fee[0].takes_effect, TakesEffect::kAtRestart);
 }
 
-TEST(Numbers, ClassesKeepTheirsWhileTheProcessLives) {
+TEST(ClassNumbers, StayTheSameWhileTheProcessRuns) {
   const auto make = [](const std::string& classes) {
-    return node::MakeConfig(
-        {{true, "f",
-          kGood.substr(0, kGood.find("[[classes]]")) + classes + kGood.substr(kGood.find("[[kinds]]"))},
-         {},
-         {}});
+    return node::MakeConfig({{true, "f",
+                              kOperatorsToml.substr(0, kOperatorsToml.find("[[classes]]")) + classes +
+                                  kOperatorsToml.substr(kOperatorsToml.find("[[kinds]]"))},
+                             {},
+                             {}});
   };
   const auto table = [](const std::string& name, const std::string& aim) {
     return "[[classes]]\nname = \"" + name + "\"\naim = \"" + aim + "\"\ndeadline = \"1h\"\n";
   };
-  const node::Config one = make(table("a", "1s") + table("b", "2s"));
-  const node::Config two = node::Changed(one, make(table("c", "3s") + table("b", "4s")));
-  EXPECT_EQ(two.classes, (std::map<std::string, int>{{"b", 1}, {"c", 2}}));
-  EXPECT_EQ(two.settings.classes.at(0).aim,
-            std::chrono::seconds(1));  // what is held of it still needs its settings
-  EXPECT_EQ(two.settings.classes.at(1).aim, std::chrono::seconds(4));
-  const node::Config back = node::Changed(two, make(table("a", "5s")));
-  EXPECT_EQ(back.classes.at("a"),
-            3);  // a name that comes back is a new class: its old number may still be held
+  const node::Config initial = make(table("a", "1s") + table("b", "2s"));
+  const node::Config changed = node::Changed(initial, make(table("c", "3s") + table("b", "4s")));
+  EXPECT_EQ(changed.classes, (std::map<std::string, int>{{"b", 1}, {"c", 2}}));
+  // Messages that are still held of the removed class need its settings.
+  EXPECT_EQ(changed.settings.classes.at(0).aim, std::chrono::seconds(1));
+  EXPECT_EQ(changed.settings.classes.at(1).aim, std::chrono::seconds(4));
+  const node::Config restored = node::Changed(changed, make(table("a", "5s")));
+  // A name that comes back is a new class: messages with its old number may still be held.
+  EXPECT_EQ(restored.classes.at("a"), 3);
 }
 
 }  // namespace
--- a/tests/config/good_document.h
+++ b/tests/config/operators_file.h
@@ -1,4 +1,4 @@
-// A whole operator's file, and how it is edited and judged in tests.
+// A complete and valid operator's file for tests, an edited copy of it, and the faults of such a file.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 namespace indigosaddle::config {
 
-inline const std::string kGood = R"([node]
+inline const std::string kOperatorsToml = R"([node]
 name = "n1"
 listen = "127.0.0.1:0"
 discovery = "127.0.0.1:8500"
@@ -43,13 +43,15 @@
 fee = 0.5
 )";
 
+// kOperatorsToml with the first `from` replaced by `to`. A test fails if `from` is not in it.
 inline std::string Edited(const std::string& from, const std::string& to) {
-  std::string text = kGood;
+  std::string text = kOperatorsToml;
   const std::size_t at = text.find(from);
   EXPECT_NE(at, std::string::npos) << from;
   return text.replace(at, from.size(), to);
 }
 
+// All faults of an operator's file without other sources, a line each; empty: it is valid.
 inline std::string FaultsOf(const std::string& text) {
   try {
     node::MakeConfig({{true, "f.toml", text}, {}, {}});
--- a/tests/config/platform_document.h
+++ b/tests/config/platform_document.h
@@ -1,4 +1,4 @@
-// A whole document of the platform's, with what the node reads and what it only keeps.
+// A complete and valid document of the platform for tests, and what a node makes of such a document.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,6 +8,7 @@
 
 namespace indigosaddle::config {
 
+// The document has values that the node reads and values that it only passes on.
 inline nlohmann::json PlatformDocument() {
   return nlohmann::json::parse(R"({"name":"n3","listen":"127.0.0.1:0","control":"127.0.0.1:0",
   "discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -34,11 +35,11 @@
     "telemetry":{"columns":["x0","x1"],"how":"inline"},"tiers":["partners"],"zones":["here","there"],"zone":1}})");
 }
 
-// The faults of a document that follows another one, a line each; empty: it can be used. `in_force` is null
-// at a first start.
+// The faults of a document that replaces `in_force`, a line each; empty: it is valid. `in_force` is null
+// where no document is in force, as at a first start.
 inline std::string FaultsOf(const std::string& text, const nlohmann::json& in_force) {
   Sources sources{{}, {true, "p.json", text}, {{"EDGE_STATE", "/state"}}};
-  if (!in_force.is_null()) sources.in_force = {true, "old.json", in_force.dump()};
+  if (!in_force.is_null()) sources.platform_in_force = {true, "old.json", in_force.dump()};
   try {
     node::MakeConfig(sources);
     return "";
@@ -50,12 +51,12 @@
   return FaultsOf(next.dump(), in_force);
 }
 
-// Every value that is in force with a document that can be used, a line each.
+// Every value that is in force with a valid document, a line each.
 inline std::string InForceWith(const nlohmann::json& document) {
   const node::Config config =
       node::MakeConfig({{}, {true, "p.json", document.dump()}, {{"EDGE_STATE", "/state"}}});
   std::string lines;
-  for (const Shown& shown : config.shown) lines += shown.path + " = " + shown.value + "\n";
+  for (const ShownValue& shown : config.shown) lines += shown.path + " = " + shown.value + "\n";
   return lines;
 }
 
--- a/tests/config/platform_document_test.cpp
+++ b/tests/config/platform_document_test.cpp
@@ -1,4 +1,5 @@
-// The platform's document is taken whole or not at all: what it lacks is never read as a default.
+// A platform's document comes into force completely or not at all: a value that it lacks is never replaced by
+// a default.
 #include "platform_document.h"
 
 #include <gtest/gtest.h>
@@ -13,44 +14,44 @@
 using nlohmann::json;
 using Pointer = json::json_pointer;
 
-// Every node of a document below its root.
-void AddNodes(const json& value, const Pointer& at, std::vector<Pointer>& nodes) {
-  if (!at.empty()) nodes.push_back(at);
+// Adds the pointers to `value` and to every value within it; the root of the document is left out.
+void AddPointers(const json& value, const Pointer& pointer, std::vector<Pointer>& pointers) {
+  if (!pointer.empty()) pointers.push_back(pointer);
   if (value.is_object()) {
-    for (const auto& [name, item] : value.items()) AddNodes(item, at / name, nodes);
+    for (const auto& [name, item] : value.items()) AddPointers(item, pointer / name, pointers);
   } else if (value.is_array()) {
-    for (std::size_t i = 0; i < value.size(); ++i) AddNodes(value[i], at / i, nodes);
+    for (std::size_t i = 0; i < value.size(); ++i) AddPointers(value[i], pointer / i, pointers);
   }
 }
-std::vector<Pointer> NodesOf(const json& document) {
-  std::vector<Pointer> nodes;
-  AddNodes(document, Pointer(), nodes);
-  return nodes;
+std::vector<Pointer> PointersInto(const json& document) {
+  std::vector<Pointer> pointers;
+  AddPointers(document, Pointer(), pointers);
+  return pointers;
 }
 
-// A table of a list that may come and go.
-bool MayGo(const Pointer& node) {
-  const std::string list = node.parent_pointer().to_string();
+// Whether the value is a table of a list whose tables may be removed.
+bool MayBeRemoved(const Pointer& pointer) {
+  const std::string list = pointer.parent_pointer().to_string();
   return list == "/settings/classes" || list == "/settings/orgs";
 }
 
-// What binds a keyed class alone may be anything for others.
-bool BindsNothing(const json& document, const Pointer& node) {
-  const json& parent = document.at(node.parent_pointer());
-  return (node.back() == "group" || node.back() == "keyTtl") && parent["effect"] != "idempotency_key";
+// Whether the value is one that only keyed classes need and the class is not keyed.
+bool HasNoEffect(const json& document, const Pointer& pointer) {
+  const json& parent = document.at(pointer.parent_pointer());
+  return (pointer.back() == "group" || pointer.back() == "keyTtl") && parent["effect"] != "idempotency_key";
 }
 
-void Drop(json& document, const Pointer& node) {
-  json& parent = document[node.parent_pointer()];
+void Remove(json& document, const Pointer& pointer) {
+  json& parent = document[pointer.parent_pointer()];
   if (parent.is_array()) {
-    parent.erase(std::stoul(node.back()));
+    parent.erase(std::stoul(pointer.back()));
   } else {
-    parent.erase(node.back());
+    parent.erase(pointer.back());
   }
 }
 
-// In place of a value: one of another kind, or a number that no setting can be.
-json Spoilt(const json& value) {
+// A value of another type than the given one, or a number that is invalid for every setting.
+json Invalid(const json& value) {
   const json other = value.is_string() ? json(7) : json("seven");
   switch (*rc::gen::inRange(0, 4)) {
     case 0: return nullptr;
@@ -60,54 +61,54 @@
   }
 }
 
-// The failure of issue 47: a file that lacked a value, or had an odd one, came into force as another one.
-RC_GTEST_PROP(PlatformDocument, WithOneNodeGoneOrSpoiltIsRefusedOrChangesNothing, ()) {
+// Issue 47: a file that lacked a value, or had an invalid one, came into force with another value.
+RC_GTEST_PROP(PlatformDocument, WithOneValueMissingOrInvalidIsRefusedOrChangesNothing, ()) {
   const json good = PlatformDocument();
-  const Pointer node = *rc::gen::elementOf(NodesOf(good));
-  RC_PRE(!MayGo(node) && !BindsNothing(good, node));
+  const Pointer pointer = *rc::gen::elementOf(PointersInto(good));
+  RC_PRE(!MayBeRemoved(pointer) && !HasNoEffect(good, pointer));
   json bad = good;
   if (*rc::gen::arbitrary<bool>()) {
-    Drop(bad, node);
+    Remove(bad, pointer);
   } else {
-    bad[node] = Spoilt(good.at(node));
+    bad[pointer] = Invalid(good.at(pointer));
   }
   if (FaultsOf(bad, good).empty()) RC_ASSERT(InForceWith(bad) == InForceWith(good));
 }
 
-TEST(PlatformDocument, LackingAnyKeyThatIsInForceIsRefused) {
+TEST(PlatformDocument, WithoutAKeyThatTheOneInForceHasIsRefused) {
   const json good = PlatformDocument();
   ASSERT_EQ(FaultsOf(good, good), "");
-  for (const Pointer& node : NodesOf(good)) {
-    if (!good.at(node.parent_pointer()).is_object()) continue;
-    if (node.to_string().starts_with("/known/")) continue;  // read at the start alone
+  for (const Pointer& pointer : PointersInto(good)) {
+    if (!good.at(pointer.parent_pointer()).is_object()) continue;
+    if (pointer.to_string().starts_with("/known/")) continue;  // only read at a start
     json bad = good;
-    Drop(bad, node);
-    EXPECT_NE(FaultsOf(bad, good).find("is missing"), std::string::npos) << node;
-    bad[node] = nullptr;
-    EXPECT_NE(FaultsOf(bad, good).find("is missing"), std::string::npos) << node << " is null";
+    Remove(bad, pointer);
+    EXPECT_NE(FaultsOf(bad, good).find("is missing"), std::string::npos) << pointer;
+    bad[pointer] = nullptr;
+    EXPECT_NE(FaultsOf(bad, good).find("is missing"), std::string::npos) << pointer << " is null";
   }
 }
 
-// Nothing is in force yet: what the node reads must be there all the same.
-TEST(PlatformDocument, AFirstOneMayLackOnlyWhatThePageCallsOptionalOrTheNodeDoesNotRead) {
+// With nothing in force yet, a document must still have all values that the node reads.
+TEST(PlatformDocument, AFirstOneMayLackOnlyOptionalAndUnreadValues) {
   const json good = PlatformDocument();
   const std::set<std::string> optional = {"/control", "/known", "/settings/orgs",
                                           "/settings/guarantees/turnGap", "/settings/classes/1/sequential"};
-  for (const Pointer& node : NodesOf(good)) {
-    if (!good.at(node.parent_pointer()).is_object() || BindsNothing(good, node)) continue;
-    if (optional.contains(node.to_string())) continue;
+  for (const Pointer& pointer : PointersInto(good)) {
+    if (!good.at(pointer.parent_pointer()).is_object() || HasNoEffect(good, pointer)) continue;
+    if (optional.contains(pointer.to_string())) continue;
     json bad = good;
-    Drop(bad, node);
+    Remove(bad, pointer);
     if (FaultsOf(bad, nullptr).empty()) {
-      EXPECT_EQ(InForceWith(bad), InForceWith(good)) << node;
+      EXPECT_EQ(InForceWith(bad), InForceWith(good)) << pointer;
     }
   }
-  json least = good;
-  for (const std::string& path : optional) Drop(least, Pointer(path));
-  EXPECT_EQ(FaultsOf(least, nullptr), "");
+  json smallest = good;
+  for (const std::string& path : optional) Remove(smallest, Pointer(path));
+  EXPECT_EQ(FaultsOf(smallest, nullptr), "");
 }
 
-TEST(PlatformDocument, ThatIsWholeIsTaken) {
+TEST(PlatformDocument, ThatIsCompleteIsAccepted) {
   const json good = PlatformDocument();
   const auto edited = [&](auto&& edit) {
     json next = good;
@@ -132,7 +133,7 @@
             "");
 }
 
-TEST(PlatformDocument, WithOddValuesIsRefused) {
+TEST(PlatformDocument, WithInvalidValuesIsRefused) {
   const json good = PlatformDocument();
   for (const auto& [path, value] :
        std::vector<std::pair<std::string, json>>{{"/settings/classes/0/deadline", 0},
@@ -158,30 +159,30 @@
   }
 }
 
-TEST(PlatformDocument, WithAKeyTwiceIsRefused) {
+TEST(PlatformDocument, WithADuplicateKeyIsRefused) {
   std::string text = PlatformDocument().dump();
-  const std::string once = R"("effect":"non_idempotent")";
-  text.replace(text.find(once), once.size(), R"("effect":"read_like",)" + once);
+  const std::string effect = R"("effect":"non_idempotent")";
+  text.replace(text.find(effect), effect.size(), R"("effect":"read_like",)" + effect);
   EXPECT_NE(FaultsOf(text, nullptr).find("effect: stands twice"), std::string::npos);
 }
 
-TEST(PlatformDocument, CutAnywhereIsRefused) {
+TEST(PlatformDocument, TruncatedAnywhereIsRefused) {
   const std::string text = PlatformDocument().dump();
   for (std::size_t size = 0; size < text.size(); size += 3)
     EXPECT_NE(FaultsOf(text.substr(0, size), nullptr), "") << size;
 }
 
-// A fault is found by whoever reads the log, so all of them are said at once.
-TEST(PlatformDocument, SaysEveryFaultWithItsPath) {
+// Operators find faults by reading the log, so all of them are reported at once.
+TEST(PlatformDocument, EveryFaultIsReportedWithItsPath) {
   json bad = PlatformDocument();
   bad["settings"]["classes"][1].erase("effect");
   bad["settings"]["classes"][0]["deadline"] = -1;
   bad["settings"].erase("caps");
   const std::string faults = FaultsOf(bad, nullptr);
-  for (const char* said : {"p.json: settings.classes[1].effect: is missing",
-                           "p.json: settings.classes[0].deadline: -1; expected a number over 0",
-                           "p.json: settings.caps: is missing"})
-    EXPECT_NE(faults.find(said), std::string::npos) << faults;
+  for (const char* expected : {"p.json: settings.classes[1].effect: is missing",
+                               "p.json: settings.classes[0].deadline: -1; expected a number over 0",
+                               "p.json: settings.caps: is missing"})
+    EXPECT_NE(faults.find(expected), std::string::npos) << faults;
 }
 
 }  // namespace
--- a/tests/config/schema_test.cpp
+++ b/tests/config/schema_test.cpp
@@ -1,4 +1,5 @@
-// The schema table, the operator's file and the layers: what is taken, what is refused and where.
+// The table of settings and the operator's file: which values are accepted, and which are refused with what
+// fault.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -6,8 +7,8 @@
 #include <set>
 
 #include "config/layers.h"
-#include "good_document.h"
 #include "node/config.h"
+#include "operators_file.h"
 
 namespace indigosaddle::config {
 namespace {
@@ -15,36 +16,37 @@
 using nlohmann::json;
 
 TEST(Schema, NamesAreUniqueAndEveryDefaultIsAValueInItsRange) {
-  std::set<std::string> paths, told;
-  for (const Item& item : Schema()) {
-    EXPECT_TRUE(paths.insert(item.path).second) << item.path;
-    EXPECT_TRUE(told.insert(item.told).second) << item.told;
-    EXPECT_GT(std::string(item.about).size(), 5u) << item.path;
-    EXPECT_GT(std::string(item.touch).size(), 5u) << item.path;
-    if (item.absent[0] == '\0') continue;
-    const json plain = json::parse(item.absent, nullptr, false);
-    const json written = plain.is_discarded() ? json(item.absent) : plain;
-    const auto value = ToTold(item, written);
-    ASSERT_TRUE(value) << item.path << " " << item.absent;
-    // What is shown can be written again and means the same.
-    const std::string shown = Show(item, *value);
-    const json again = item.type == Type::kFlag || item.type == Type::kInteger || item.type == Type::kNumber
-                           ? json::parse(shown)
-                           : json(shown);
-    EXPECT_EQ(ToTold(item, again), value) << item.path;
+  std::set<std::string> paths, platform_paths;
+  for (const Setting& setting : Schema()) {
+    EXPECT_TRUE(paths.insert(setting.path).second) << setting.path;
+    EXPECT_TRUE(platform_paths.insert(setting.platform_path).second) << setting.platform_path;
+    EXPECT_GT(std::string(setting.description).size(), 5u) << setting.path;
+    EXPECT_GT(std::string(setting.when_to_change).size(), 5u) << setting.path;
+    if (setting.default_text[0] == '\0') continue;
+    const json parsed = json::parse(setting.default_text, nullptr, false);
+    const json file_value = parsed.is_discarded() ? json(setting.default_text) : parsed;
+    const auto value = ToPlatformForm(setting, file_value);
+    ASSERT_TRUE(value) << setting.path << " " << setting.default_text;
+    // The shown form can be written in a file and means the same value.
+    const std::string shown = ToFileForm(setting, *value);
+    const json shown_value = setting.type == ValueType::kFlag || setting.type == ValueType::kInteger ||
+                                     setting.type == ValueType::kNumber
+                                 ? json::parse(shown)
+                                 : json(shown);
+    EXPECT_EQ(ToPlatformForm(setting, shown_value), value) << setting.path;
   }
 }
 
-RC_GTEST_PROP(Schema, AShownDurationOrSizeReadsBackAsItself, ()) {
-  const Item& time = *Find("classes[].deadline");
-  const Item& size = *Find("limits.disk");
+RC_GTEST_PROP(Schema, ADurationOrSizeInFileFormParsesToTheSameValue, ()) {
+  const Setting& duration = *FindSetting("classes[].deadline");
+  const Setting& size = *FindSetting("limits.disk");
   const double millis = *rc::gen::inRange<int>(0, 86400000);
-  RC_ASSERT(ToTold(time, Show(time, millis))->get<double>() == millis);
+  RC_ASSERT(ToPlatformForm(duration, ToFileForm(duration, millis))->get<double>() == millis);
   const double megabytes = *rc::gen::inRange<int>(1, 1000000);
-  RC_ASSERT(std::abs(ToTold(size, Show(size, megabytes))->get<double>() - megabytes) < 1e-6);
+  RC_ASSERT(std::abs(ToPlatformForm(size, ToFileForm(size, megabytes))->get<double>() - megabytes) < 1e-6);
 }
 
-TEST(Schema, TheJsonSchemaNamesEverySetting) {
+TEST(Schema, TheJsonSchemaHasEverySetting) {
   const json schema = json::parse(JsonSchema());
   std::size_t count = 0;
   for (const auto& [name, section] : schema.at("properties").items()) {
@@ -53,9 +55,9 @@
   EXPECT_EQ(count, Schema().size());
 }
 
-TEST(Document, AWholeFileAloneIsEnoughAndMeansWhatItSays) {
-  ASSERT_EQ(FaultsOf(kGood), "");
-  const node::Config config = node::MakeConfig({{true, "f.toml", kGood}, {}, {}});
+TEST(OperatorsFile, ACompleteFileNeedsNoOtherSource) {
+  ASSERT_EQ(FaultsOf(kOperatorsToml), "");
+  const node::Config config = node::MakeConfig({{true, "f.toml", kOperatorsToml}, {}, {}});
   EXPECT_EQ(config.settings.call_slots, 8);
   EXPECT_EQ(config.settings.own_zone, 1);
   EXPECT_EQ(config.settings.classes.at(0).effect, Effect::kKeyed);
@@ -67,14 +69,15 @@
   EXPECT_EQ(config.disk_bytes, 64000000u);
 }
 
-struct Bad {
+// An invalid edit of kOperatorsToml, and texts that must be in its faults.
+struct InvalidEdit {
   const char* from;
   const char* to;
-  std::vector<std::string> says;  // each in the faults
+  std::vector<std::string> expected;
 };
 
-TEST(Document, EachFaultNamesItsPlaceAndWhatWasExpected) {
-  const std::vector<Bad> table = {
+TEST(OperatorsFile, EachFaultNamesItsLocationAndWhatWasExpected) {
+  const std::vector<InvalidEdit> table = {
       {"call_slots",
        "call_slot",
        {"f.toml:8:1: delivery.call_slot: unknown name; did you mean \"call_slots\"?"}},
@@ -105,16 +108,16 @@
       {"name = \"n1\"", "name = \"n1", {"f.toml:2:"}},
       {"name = \"n1\"", "name = 1979-05-27", {"node.name: a date or time; expected a text"}},
   };
-  for (const Bad& bad : table) {
-    const std::string faults = FaultsOf(Edited(bad.from, bad.to));
-    for (const std::string& says : bad.says) {
-      EXPECT_NE(faults.find(says), std::string::npos)
-          << bad.to << "\n  said: " << faults << "\n  not: " << says;
+  for (const InvalidEdit& edit : table) {
+    const std::string faults = FaultsOf(Edited(edit.from, edit.to));
+    for (const std::string& expected : edit.expected) {
+      EXPECT_NE(faults.find(expected), std::string::npos)
+          << edit.to << "\n  faults: " << faults << "\n  missing: " << expected;
     }
   }
 }
 
-TEST(Document, AllFaultsAreSaidAtOnceInTheOrderOfTheFile) {
+TEST(OperatorsFile, AllFaultsAreReportedAtOnceInTheOrderOfTheFile) {
   std::string text = Edited("call_slots = 8", "call_slots = -8");
   for (const auto& [from, to] : std::vector<std::pair<std::string, std::string>>{
            {"\"keyed\"", "\"maybe\""}, {"fee = 0.5", "fee = -1"}, {"\"127.0.0.1:8500\"", "\"x\""}}) {
@@ -130,16 +133,16 @@
   }
 }
 
-// Any bytes: read or refused with a fault, never anything else, and not without bound.
-RC_GTEST_PROP(Document, MutatedFilesAreReadOrRefused, ()) {
-  std::string text = kGood;
+// A file with any bytes changed is read or refused with a bounded number of faults; nothing else may happen.
+RC_GTEST_PROP(OperatorsFile, MutatedFilesAreReadOrRefused, ()) {
+  std::string text = kOperatorsToml;
   for (int i = *rc::gen::inRange(1, 6); i > 0; --i) {
     const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
     text[at] = *rc::gen::element('"', '[', ']', '=', '\n', '.', '-', '9', 'x', '\0', '\xff', '{');
   }
-  const Document document = ReadDocument(text, "f");
-  RC_ASSERT(document.faults.size() <= 60u);
-  for (const Fault& fault : document.faults) RC_ASSERT(!ToText(fault).empty());
+  const ParsedOperatorsFile parsed = ParseOperatorsFile(text, "f");
+  RC_ASSERT(parsed.faults.size() <= 60u);
+  for (const Fault& fault : parsed.faults) RC_ASSERT(!ToText(fault).empty());
 }
 
 }  // namespace
