--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -23,20 +23,20 @@
 }  // namespace
 
 Config MakeConfig(const config::Sources& sources) {
-  config::Effective effective = config::Combine(sources);
-  if (sources.operators.given && effective.platform_usable) {
+  config::EffectiveConfig effective = config::Combine(sources);
+  if (sources.operators_file.given && effective.platform_usable) {
     CheckOperatorSettings(effective);
     CheckFleet(effective);
   }
-  std::stable_sort(effective.faults.begin(), effective.faults.end(),
-                   [](const config::Fault& a, const config::Fault& b) {
-                     return std::pair(a.at.line, a.at.column) < std::pair(b.at.line, b.at.column);
-                   });
+  std::stable_sort(
+      effective.faults.begin(), effective.faults.end(), [](const config::Fault& a, const config::Fault& b) {
+        return std::pair(a.location.line, a.location.column) < std::pair(b.location.line, b.location.column);
+      });
   if (!effective.faults.empty()) throw ConfigError(config::ToText(effective.faults, "\n"));
-  const std::string& name = sources.platform.given ? effective.platform_name : effective.operators_name;
+  const std::string& name = sources.platform.given ? effective.platform_name : effective.operators_file_name;
   try {
     Config config = ConfigFromMerged(effective.merged);
-    if (sources.operators.given) ReadOperatorSettings(effective.merged, config);
+    if (sources.operators_file.given) ReadOperatorSettings(effective.merged, config);
     config.shown = config::ShowAll(effective);
     return config;
   } catch (const ConfigError& error) {
@@ -51,7 +51,7 @@
 config::Sources ReadSources(const std::map<std::string, std::string>& environment,
                             const std::string& operators_path) {
   config::Sources sources{{}, {}, environment};
-  if (!operators_path.empty()) sources.operators = {true, operators_path, ReadFile(operators_path)};
+  if (!operators_path.empty()) sources.operators_file = {true, operators_path, ReadFile(operators_path)};
   const auto path = environment.find("EDGE_CONFIG");
   if (path != environment.end() && !path->second.empty()) {
     sources.platform = {true, path->second, ReadFile(path->second)};
--- a/src/node/config.h
+++ b/src/node/config.h
@@ -67,7 +67,7 @@
   FleetConfig fleet;
   bool has_operators_file = false;
   // Every value, with the source that it comes from.
-  std::vector<config::Shown> shown;
+  std::vector<config::ShownValue> shown;
 };
 
 // The number of a name; -1 if it is unknown.
--- a/src/node/config_changes.cpp
+++ b/src/node/config_changes.cpp
@@ -32,9 +32,9 @@
       guard_(beginning.config.guard_rules),
       start_history_(std::move(beginning.history)),
       start_error_(std::move(beginning.load_errors)),
-      transaction_timer_(loop, [this] { HandleEvent(config::Due{loop_.Now()}); }),
+      transaction_timer_(loop, [this] { HandleEvent(config::TimerFired{loop_.Now()}); }),
       guard_timer_(loop, [this] { CheckGuard(); }) {
-  if (sources_.operators.given) {
+  if (sources_.operators_file.given) {
     store_ =
         std::make_unique<config::Store>(beginning.config.state_folder, beginning.config.disk_bytes, step_);
   }
@@ -46,7 +46,7 @@
     log_.Write(base::kConfigStartsWith, PlatformDocumentHash(), sources_.platform.name);
   SaveLastGood();
   if (store_ == nullptr) return;
-  log_.Write(base::kConfigServes, start_history_.kept, sources_.operators.name);
+  log_.Write(base::kConfigServes, start_history_.kept, sources_.operators_file.name);
   HandleEvent(config::Started{std::move(start_history_), loop_.Now()});
 }
 
@@ -54,7 +54,7 @@
   if (sources_.platform.given) last_good_.Save(sources_.platform.text, MaxLastGoodBytes(owner_.running()));
 }
 
-void ConfigChanges::Stop() { HandleEvent(config::StopAsked{}); }
+void ConfigChanges::Stop() { HandleEvent(config::StopRequested{}); }
 
 void ConfigChanges::Freeze() {
   transaction_timer_.Stop();
@@ -77,9 +77,9 @@
   }
   // The platform's document is applied first, with the operator's document that is in force. It states facts
   // and gets no trial: rolling it back would leave the node at an address that no longer exists.
-  const std::string file = std::exchange(next.operators.text, sources_.operators.text);
-  const std::string name = std::exchange(next.operators.name, sources_.operators.name);
-  next.in_force = sources_.platform;
+  const std::string file = std::exchange(next.operators_file.text, sources_.operators_file.text);
+  const std::string name = std::exchange(next.operators_file.name, sources_.operators_file.name);
+  next.platform_in_force = sources_.platform;
   bool changed = false;
   try {
     const Config read = MakeConfig(next);
@@ -147,8 +147,8 @@
   auto next = Validate(apply.document, faults, apply.undo);
   std::string error;
   if (next) {
-    sources_.operators.text = apply.document;
-    sources_.operators.name = fmt::format("generation {}", apply.number);
+    sources_.operators_file.text = apply.document;
+    sources_.operators_file.name = fmt::format("generation {}", apply.number);
     // The trial begins before the change is adopted: what the change causes in its first turn, such as load
     // shedding, is part of the trial.
     if (!apply.undo) guard_.Begin(loop_.Now());
@@ -162,19 +162,20 @@
   events_.emplace_back(config::Applied{error});
 }
 
-void ConfigChanges::CarryOut(const config::Check& check) {
+void ConfigChanges::CarryOut(const config::Recheck& check) {
   events_.emplace_back(config::Rechecked{Validated(check.proposal), loop_.Now()});
 }
 
 void ConfigChanges::CarryOut(const config::BeginTrial&) {
-  guard_timer_.Start(owner_.running().guard_rules.trial / config::Guard::kLooks);
+  guard_timer_.Start(owner_.running().guard_rules.trial / config::Guard::kMaxLooks);
 }
 
 void ConfigChanges::CarryOut(const config::EndTrial&) {
   guard_timer_.Stop();
   step_("config.keep");
-  const config::Judgement last = guard_.End(loop_.Now());
-  events_.emplace_back(config::GuardSaid{last.finding == config::Finding::kBurst, true, last.why});
+  const config::Assessment last = guard_.End(loop_.Now());
+  events_.emplace_back(
+      config::GuardReported{last.verdict == config::Verdict::kRegression, true, last.reason});
 }
 
 void ConfigChanges::CarryOut(const config::CancelTrial&) {
@@ -183,9 +184,10 @@
 }
 
 void ConfigChanges::CheckGuard() {
-  const config::Judgement now = guard_.Look(loop_.Now());
-  if (now.finding == config::Finding::kBurst) return HandleEvent(config::GuardSaid{true, false, now.why});
-  if (guard_.watching()) guard_timer_.Start(owner_.running().guard_rules.trial / config::Guard::kLooks);
+  const config::Assessment now = guard_.Look(loop_.Now());
+  if (now.verdict == config::Verdict::kRegression)
+    return HandleEvent(config::GuardReported{true, false, now.reason});
+  if (guard_.in_trial()) guard_timer_.Start(owner_.running().guard_rules.trial / config::Guard::kMaxLooks);
 }
 
 void ConfigChanges::CarryOut(const config::ArmTimer& timer) {
@@ -197,13 +199,13 @@
   if (!node.empty()) node.mapped()({{"ok", answer.ok}, {"generation", answer.number}, {"text", answer.text}});
 }
 
-void ConfigChanges::CarryOut(const config::Tell& tell) {
-  using enum config::Told;
+void ConfigChanges::CarryOut(const config::WriteLog& tell) {
+  using enum config::LogKind;
   // The rules for trials come from the configuration that is now in force, also if it is on trial itself. A
   // guard whose trial is under way keeps the rules that the trial began with.
   transactions_.SetRules(TransactionRulesOf(owner_.running()));
   guard_.SetRules(owner_.running().guard_rules);
-  switch (tell.told) {
+  switch (tell.kind) {
     case kRefused: return log_.Write(base::kConfigRefused, tell.author, tell.text);
     case kOnTrial:
       return log_.Write(base::kConfigOnTrial, tell.number, tell.author, tell.text,
--- a/src/node/config_changes.h
+++ b/src/node/config_changes.h
@@ -57,7 +57,7 @@
   // the next process.
   void Freeze();
   // Counts the outcome of one message for the guard.
-  void Count(config::Sign sign, Micros now) { guard_.Count(sign, now); }
+  void Count(config::GuardOutcome sign, Micros now) { guard_.Count(sign, now); }
 
   // Receives the answer to one request, as a JSON object.
   using Answer = std::function<void(nlohmann::json)>;
@@ -79,13 +79,13 @@
   void HandleEvent(config::TransactionEvent event);
   void CarryOut(const config::Save&);
   void CarryOut(const config::Apply& apply);
-  void CarryOut(const config::Check& check);
+  void CarryOut(const config::Recheck& check);
   void CarryOut(const config::BeginTrial&);
   void CarryOut(const config::EndTrial&);
   void CarryOut(const config::CancelTrial&);
   void CarryOut(const config::ArmTimer& timer);
   void CarryOut(const config::Answer& answer);
-  void CarryOut(const config::Tell& tell);
+  void CarryOut(const config::WriteLog& tell);
 
   // Checks an operator's document against the running configuration and the messages held. Returns the
   // configuration that it makes, or nothing, with `faults`, if it may not be applied. For a rollback (`undo`)
--- a/src/node/config_changes_requests.cpp
+++ b/src/node/config_changes_requests.cpp
@@ -16,8 +16,9 @@
 // is accepted, so that the check still finds a longer one too long.
 std::string TextField(const json& request, const char* name) {
   const auto it = request.find(name);
-  return it != request.end() && it->is_string() ? it->get<std::string>().substr(0, config::kMostDocument + 1)
-                                                : "";
+  return it != request.end() && it->is_string()
+             ? it->get<std::string>().substr(0, config::kMaxDocumentBytes + 1)
+             : "";
 }
 
 // What is wrong with the request's fields; empty if nothing.
@@ -52,18 +53,18 @@
     proposal.author = TextField(request, "author").substr(0, 64);
     proposal.reason = TextField(request, "reason").substr(0, 256);
     proposal.document = TextField(request, "document");
-    proposal.wait = request.value("wait", json(false)) == json(true);
+    proposal.queue_if_busy = request.value("wait", json(false)) == json(true);
     HandleEvent(config::Proposed{Validated(std::move(proposal)), loop_.Now()});
   } else if (op == "rollback") {
-    HandleEvent(config::RollbackAsked{IssueTicket(answer), request.value("generation", std::uint64_t{0}),
-                                      TextField(request, "author").substr(0, 64),
-                                      TextField(request, "reason").substr(0, 256), loop_.Now()});
+    HandleEvent(config::RollbackRequested{IssueTicket(answer), request.value("generation", std::uint64_t{0}),
+                                          TextField(request, "author").substr(0, 64),
+                                          TextField(request, "reason").substr(0, 256), loop_.Now()});
   } else if (op == "history") {
-    answer({{"ok", true}, {"generations", config::ListOf(transactions_.history())}});
+    answer({{"ok", true}, {"generations", config::HistoryAsJson(transactions_.history())}});
   } else if (op == "show") {
     json values = json::array();
-    for (const config::Shown& shown : owner_.running().shown) {
-      values.push_back({{"path", shown.path}, {"value", shown.value}, {"from", shown.from}});
+    for (const config::ShownValue& shown : owner_.running().shown) {
+      values.push_back({{"path", shown.path}, {"value", shown.value}, {"from", shown.source}});
     }
     answer({{"ok", true}, {"values", values}});
   } else {
--- a/src/node/config_fleet.cpp
+++ b/src/node/config_fleet.cpp
@@ -18,19 +18,19 @@
 
 // Number of tables in a list; 0 if it is absent.
 std::size_t TableCount(const json& whole, const char* list) {
-  const json* tables = config::At(whole, list, 0);
+  const json* tables = config::ValueAt(whole, list, 0);
   return tables != nullptr && tables->is_array() ? tables->size() : 0;
 }
 
 // The text at this path, or `default_text` if it is absent or no text.
 std::string TextAt(const json& whole, const char* path, std::size_t index, const char* default_text) {
-  const json* value = config::At(whole, path, index);
+  const json* value = config::ValueAt(whole, path, index);
   return value != nullptr && value->is_string() ? value->get<std::string>() : default_text;
 }
 
 // Whether this peer is a voter; a peer is one unless it says that it is not.
 bool IsVoter(const json& whole, std::size_t index) {
-  const json* value = config::At(whole, "operator.peers[].votes", index);
+  const json* value = config::ValueAt(whole, "operator.peers[].votes", index);
   return value == nullptr || *value != json(false);
 }
 
@@ -40,7 +40,7 @@
   return net::ParseAddress(text, address) && !text.ends_with(":0");
 }
 
-void CheckSites(config::Effective& effective) {
+void CheckSites(config::EffectiveConfig& effective) {
   const auto add_fault = [&](const std::string& path, const std::string& what) {
     AddFault(effective, path, what);
   };
@@ -67,7 +67,7 @@
 
 }  // namespace
 
-void CheckFleet(config::Effective& effective) {
+void CheckFleet(config::EffectiveConfig& effective) {
   const json& whole = effective.merged;
   const auto add_fault = [&](const std::string& path, const std::string& what) {
     AddFault(effective, path, what);
@@ -120,7 +120,7 @@
   fleet.timing.exchange_every = duration("operator.fleet.exchange_every");
   fleet.timing.lease = duration("operator.fleet.lease");
   fleet.timing.drift = number("operator.fleet.clock_drift");
-  fleet.count_senders = config::At(whole, "operator.fleet.count_senders", 0)->get<bool>();
+  fleet.count_senders = config::ValueAt(whole, "operator.fleet.count_senders", 0)->get<bool>();
   fleet.sites.accusing_share = number("operator.fleet.site_agree");
   fleet.sites.return_hold = duration("operator.fleet.site_hold");
   fleet.sites.max_return_hold = std::max(fleet.sites.return_hold, duration("operator.fleet.site_hold_most"));
--- a/src/node/config_operators.cpp
+++ b/src/node/config_operators.cpp
@@ -12,21 +12,23 @@
 
 using nlohmann::json;
 
-void AddFault(config::Effective& effective, const std::string& path, const std::string& what) {
-  const auto it = effective.operators.places.find(path);
-  effective.faults.push_back({effective.operators_name,
-                              it == effective.operators.places.end() ? config::Place{} : it->second, path,
-                              what});
+void AddFault(config::EffectiveConfig& effective, const std::string& path, const std::string& what) {
+  const auto it = effective.operators_file.locations.find(path);
+  effective.faults.push_back(
+      {effective.operators_file_name,
+       it == effective.operators_file.locations.end() ? config::SourceLocation{} : it->second, path, what});
 }
 
-double NumberAt(const json& whole, const char* path) { return config::At(whole, path, 0)->get<double>(); }
+double NumberAt(const json& whole, const char* path) {
+  return config::ValueAt(whole, path, 0)->get<double>();
+}
 
 Micros DurationAt(const json& whole, const char* path) {
   return Micros(std::llround(NumberAt(whole, path) * 1000));
 }
 
 void ReadOperatorSettings(const json& whole, Config& config) {
-  const auto text = [&](const char* path) { return config::At(whole, path, 0)->get<std::string>(); };
+  const auto text = [&](const char* path) { return config::ValueAt(whole, path, 0)->get<std::string>(); };
   const auto number = [&](const char* path) { return NumberAt(whole, path); };
   const auto duration = [&](const char* path) { return DurationAt(whole, path); };
   config.has_operators_file = true;
@@ -38,31 +40,31 @@
   }
   config.log.form = text("operator.log.format") == "json" ? base::Form::kJson : base::Form::kText;
   config.log.lines_per_second = static_cast<int>(number("operator.log.lines_per_second"));
-  if (config::At(whole, "operator.control.socket", 0) != nullptr)
+  if (config::ValueAt(whole, "operator.control.socket", 0) != nullptr)
     config.control_socket = text("operator.control.socket");
   config.guard_rules.trial = duration("operator.change.trial");
-  config.guard_rules.before = duration("operator.change.before");
-  config.guard_rules.false_alarms = number("operator.change.false_alarms");
+  config.guard_rules.baseline = duration("operator.change.before");
+  config.guard_rules.false_alarm_rate = number("operator.change.false_alarms");
   ReadFleet(whole, config.fleet);
 }
 
-void CheckOperatorSettings(config::Effective& effective) {
+void CheckOperatorSettings(config::EffectiveConfig& effective) {
   const auto add_fault = [&](const char* path, const std::string& what) { AddFault(effective, path, what); };
   for (const char* path : {"node.name", "node.listen", "node.discovery", "node.state"}) {
-    const config::Item& item = *config::Find(path);
-    const json* value = config::At(effective.merged, item.told, 0);
+    const config::Setting& item = *config::FindSetting(path);
+    const json* value = config::ValueAt(effective.merged, item.platform_path, 0);
     sockaddr_storage address{};
     if (value == nullptr) {
-      add_fault(path, "is missing; expected " + config::Expected(item));
-    } else if (item.type == config::Type::kAddress &&
+      add_fault(path, "is missing; expected " + config::DescribeExpected(item));
+    } else if (item.type == config::ValueType::kAddress &&
                (!value->is_string() || !net::ParseAddress(value->get<std::string>(), address))) {
-      add_fault(path, value->dump() + "; expected " + config::Expected(item));
+      add_fault(path, value->dump() + "; expected " + config::DescribeExpected(item));
     }
   }
-  const json* classes = config::At(effective.merged, "settings.classes", 0);
+  const json* classes = config::ValueAt(effective.merged, "settings.classes", 0);
   if (classes == nullptr || !classes->is_array() || classes->empty())
     add_fault("classes", "expected at least one [[classes]]");
-  const json* seed = config::At(effective.merged, "seed", 0);
+  const json* seed = config::ValueAt(effective.merged, "seed", 0);
   if (seed == nullptr) {
     effective.merged["seed"] = fmt::format("{:x}{:08x}", std::random_device()(), std::random_device()());
   } else if (!seed->is_string() ||
--- a/src/node/config_platform.cpp
+++ b/src/node/config_platform.cpp
@@ -72,23 +72,24 @@
     faults += fmt::format("{}watch.{}: expected {}", faults.empty() ? "" : "\n", name, expected);
   };
   for (const auto& [name, value] : watch.items()) {
-    const config::Item* item = config::Find("watch." + name);
-    const bool number_in_range = value.is_number() && item != nullptr && value.get<double>() >= item->least &&
-                                 value.get<double>() <= item->most;
+    const config::Setting* item = config::FindSetting("watch." + name);
+    const bool number_in_range = value.is_number() && item != nullptr && value.get<double>() >= item->min &&
+                                 value.get<double>() <= item->max;
     if (item == nullptr) {
       add_fault(name, "no such name");
-    } else if (item->type == config::Type::kFlag) {
-      if (!value.is_boolean()) add_fault(name, config::Expected(*item));
+    } else if (item->type == config::ValueType::kFlag) {
+      if (!value.is_boolean()) add_fault(name, config::DescribeExpected(*item));
       if (value.is_boolean() && name == "on") shadow.on = value.get<bool>();
       if (value.is_boolean() && name == "retry_advice") shadow.retry_advice = value.get<bool>();
-    } else if (item->type == config::Type::kWord) {
+    } else if (item->type == config::ValueType::kChoice) {
       const std::map<std::string, Weights> words = {
           {"off", Weights::kNone}, {"nominal", Weights::kNominal}, {"rough", Weights::kRough}};
       const auto word = value.is_string() ? words.find(value.get<std::string>()) : words.end();
       word == words.end() ? add_fault(name, "\"off\" or \"nominal\" or \"rough\"")
                           : void(shadow.weights = word->second);
-    } else if (!number_in_range || (item->type == config::Type::kInteger && !value.is_number_integer())) {
-      add_fault(name, config::Expected(*item));
+    } else if (!number_in_range ||
+               (item->type == config::ValueType::kInteger && !value.is_number_integer())) {
+      add_fault(name, config::DescribeExpected(*item));
     } else if (name == "connection_price") {
       shadow.price_handshake = value.get<double>();
     } else if (name == "overload_factor") {
--- a/src/node/config_read.h
+++ b/src/node/config_read.h
@@ -1,5 +1,5 @@
-// The steps that turn a merged configuration (config::Effective) into a Config. Internal to the functions of
-// config.h.
+// The steps that turn a merged configuration (config::EffectiveConfig) into a Config. Internal to the
+// functions of config.h.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -19,10 +19,10 @@
 
 // Adds a fault for everything that an operator's file must have and that the schema's types and ranges can't
 // express. Generates a seed if none is given.
-void CheckOperatorSettings(config::Effective& effective);
+void CheckOperatorSettings(config::EffectiveConfig& effective);
 
 // Adds a fault at this path of the operator's file, with its line and column there.
-void AddFault(config::Effective& effective, const std::string& path, const std::string& what);
+void AddFault(config::EffectiveConfig& effective, const std::string& path, const std::string& what);
 
 // A number, and a duration that is given in milliseconds. The schema has checked the value and filled in its
 // default.
@@ -33,7 +33,7 @@
 void ReadOperatorSettings(const nlohmann::json& whole, Config& config);
 
 // The same check and the same reading for the fleet's part of the operator's file.
-void CheckFleet(config::Effective& effective);
+void CheckFleet(config::EffectiveConfig& effective);
 void ReadFleet(const nlohmann::json& whole, FleetConfig& fleet);
 
 }  // namespace indigosaddle::node
--- a/src/node/config_settings.cpp
+++ b/src/node/config_settings.cpp
@@ -25,7 +25,7 @@
   explicit SettingsReader(const json& whole) : whole_(whole) {}
 
   std::size_t Count(const char* list) const {
-    const json* value = config::At(whole_, list, 0);
+    const json* value = config::ValueAt(whole_, list, 0);
     return value != nullptr && value->is_array() ? value->size() : 0;
   }
   double Number(const char* path, std::size_t index = 0) const { return At<double>(path, index); }
@@ -38,7 +38,7 @@
     return Micros(std::llround(At<double>(path, index) * kMicrosPerMilli));
   }
   bool Has(const char* path, std::size_t index = 0) const {
-    return config::At(whole_, path, index) != nullptr;
+    return config::ValueAt(whole_, path, index) != nullptr;
   }
   // The value of one of these words.
   template <typename Value>
@@ -52,7 +52,7 @@
   // The schema has been checked before this: an exception from here means that the schema has a gap.
   template <typename Value>
   Value At(const char* path, std::size_t index) const {
-    const json* value = config::At(whole_, path, index);
+    const json* value = config::ValueAt(whole_, path, index);
     if (value == nullptr) throw ConfigError(fmt::format("{}: is missing", path));
     try {
       return value->get<Value>();
--- a/src/node/config_update.cpp
+++ b/src/node/config_update.cpp
@@ -51,9 +51,9 @@
   UpdateList(changed.tenants, settings.tenants, next.tenants, next_settings.tenants);
   changed.shown = next.shown;
   // A value that changes only with a restart is shown as it is in the running process.
-  for (config::Shown& shown : changed.shown) {
-    if (shown.change != config::Change::kRestart) continue;
-    for (const config::Shown& old : running.shown) {
+  for (config::ShownValue& shown : changed.shown) {
+    if (shown.takes_effect != config::TakesEffect::kAtRestart) continue;
+    for (const config::ShownValue& old : running.shown) {
       if (old.path == shown.path && shown.path.find('[') == std::string::npos) shown = old;
     }
   }
@@ -63,7 +63,7 @@
 std::vector<std::string> PathsNeedingRestart(const Config& running, const Config& next) {
   std::vector<std::string> paths;
   for (const config::Difference& difference : config::Differences(running.shown, next.shown)) {
-    if (difference.change == config::Change::kRestart && difference.path != "node.seed") {
+    if (difference.takes_effect == config::TakesEffect::kAtRestart && difference.path != "node.seed") {
       paths.push_back(difference.path);
     }
   }
--- a/src/node/node_log.cpp
+++ b/src/node/node_log.cpp
@@ -89,10 +89,10 @@
   const int number = NumberOf(config_.classes, finished.message_class);
   const Micros aim = number >= 0 ? config_.settings.classes[static_cast<std::size_t>(number)].aim : Micros(0);
   const bool late = finished.result == MessageResult::kDelivered && aim > Micros(0) && time_held > aim;
-  config_changes_.Count(finished.result == MessageResult::kReturned ? config::Sign::kRefused
-                        : finished.result == MessageResult::kFailed ? config::Sign::kFailed
-                        : late                                      ? config::Sign::kLate
-                                                                    : config::Sign::kInTime,
+  config_changes_.Count(finished.result == MessageResult::kReturned ? config::GuardOutcome::kRefused
+                        : finished.result == MessageResult::kFailed ? config::GuardOutcome::kFailed
+                        : late                                      ? config::GuardOutcome::kLate
+                                                                    : config::GuardOutcome::kOnTime,
                         loop_.Now());
 }
 
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -165,8 +165,9 @@
     ++(effect.answer == state::Answer::kBusy ? counts.rejected : counts.failed);
   }
   if (effect.answer != state::Answer::kAccepted && effect.refusal != state::Refusal::kStopping) {
-    config_changes_.Count(
-        effect.answer == state::Answer::kBusy ? config::Sign::kRefused : config::Sign::kFailed, loop_.Now());
+    config_changes_.Count(effect.answer == state::Answer::kBusy ? config::GuardOutcome::kRefused
+                                                                : config::GuardOutcome::kFailed,
+                          loop_.Now());
   }
   if (effect.answer != state::Answer::kAccepted) {
     const char* answer = effect.answer == state::Answer::kBusy ? "busy" : "failed";
--- a/src/node/resource_shares.cpp
+++ b/src/node/resource_shares.cpp
@@ -53,7 +53,7 @@
 
 std::size_t JournalQuotaBytes(const Config& config, bool shared) {
   const std::size_t available = config.disk_bytes - SmallFilesQuotaBytes(config) -
-                                (config.has_operators_file ? config::StoreRoom(config.disk_bytes) : 0);
+                                (config.has_operators_file ? config::MaxStoreBytes(config.disk_bytes) : 0);
   return shared ? available / 2 : available;
 }
 
--- a/src/node/startup_config.cpp
+++ b/src/node/startup_config.cpp
@@ -21,8 +21,8 @@
 
 // Returns the state folder that the sources name; empty if they name none.
 std::string StateFolderOf(const config::Sources& sources) {
-  const config::Effective effective = config::Combine(sources);
-  const json* value = config::At(effective.merged, "state", 0);
+  const config::EffectiveConfig effective = config::Combine(sources);
+  const json* value = config::ValueAt(effective.merged, "state", 0);
   return value != nullptr && value->is_string() ? value->get<std::string>() : "";
 }
 
@@ -52,14 +52,14 @@
   std::string history_error;
   config::Store(folder, 0).Load(saved, history_error, true);
   if (!file_errors.empty() && saved.kept == 0) throw ConfigError(file_errors);
-  const std::string operators_text = startup.sources.operators.text;
-  startup.history = config::StartWith(
+  const std::string operators_text = startup.sources.operators_file.text;
+  startup.history = config::HistoryAtStart(
       std::move(saved), operators_text, config::Hash(operators_text), file_errors.empty(),
       std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch()));
   const config::Generation& generation = *startup.history.Find(startup.history.kept);
-  startup.sources.operators.text = generation.document;
+  startup.sources.operators_file.text = generation.document;
   if (generation.document != operators_text)
-    startup.sources.operators.name = fmt::format("generation {}", generation.number);
+    startup.sources.operators_file.name = fmt::format("generation {}", generation.number);
   startup.config = MakeConfig(startup.sources);
   startup.load_errors = file_errors;
   if (!history_error.empty())
@@ -111,11 +111,12 @@
   std::vector<config::Fault> faults = parsed.faults;
   // A last good file that no node could use must not be the reference for another document.
   if (faults.empty()) {
-    const auto base_layer = sources.operators.given ? config::Below::kOperatorsFile : config::Below::kNothing;
+    const auto base_layer =
+        sources.operators_file.given ? config::BaseLayer::kOperatorsFile : config::BaseLayer::kNone;
     faults = config::CheckPlatformDocument(parsed.value, kLastGoodName, base_layer);
   }
   if (!faults.empty()) return config::ToText(faults, "; ");
-  sources.in_force = {true, kLastGoodName, *text};
+  sources.platform_in_force = {true, kLastGoodName, *text};
   return "";
 }
 
@@ -125,7 +126,7 @@
     config::Sources sources = ReadSources(environment, operators_path);
     const std::string last_good_faults = LoadLastGoodAsInForce(sources);
     StartupConfig startup = MakeStartupConfig(std::move(sources), operators_path, step);
-    startup.sources.in_force = {};
+    startup.sources.platform_in_force = {};
     if (!last_good_faults.empty())
       startup.load_errors += (startup.load_errors.empty() ? "" : "; ") + last_good_faults;
     return startup;
