--- a/src/faults/cluster.cpp
+++ b/src/faults/cluster.cpp
@@ -19,42 +19,43 @@
 using Clock = std::chrono::steady_clock;
 using nlohmann::json;
 
-constexpr std::chrono::milliseconds kAnswerTime(1000);
-constexpr std::chrono::milliseconds kLookEvery(15);
-std::atomic<int> runs{0};
+constexpr std::chrono::milliseconds kAnswerTimeout(1000);
+constexpr std::chrono::milliseconds kLeaseSampleInterval(15);
+std::atomic<int> clusters_created{0};  // by this process
 
-// One request on a control socket, and its answer; null where none comes.
+// Sends one request to a control socket and returns the answer. Null if none comes within kAnswerTimeout, or
+// if it is not a JSON object.
 json Ask(const std::string& path, const json& request) {
   const int descriptor = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  sockaddr_un at{};
-  at.sun_family = AF_UNIX;
-  path.copy(at.sun_path, sizeof at.sun_path - 1);
+  sockaddr_un address{};
+  address.sun_family = AF_UNIX;
+  path.copy(address.sun_path, sizeof address.sun_path - 1);
   const std::string line = request.dump() + "\n";
   std::string answer;
-  if (connect(descriptor, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0 &&
+  if (connect(descriptor, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0 &&
       send(descriptor, line.data(), line.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(line.size())) {
-    const auto end = Clock::now() + kAnswerTime;
+    const auto end = Clock::now() + kAnswerTimeout;
     while (answer.find('\n') == std::string::npos) {
       const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(end - Clock::now()).count();
-      pollfd wait{descriptor, POLLIN, 0};
-      std::array<char, 65536> space{};
-      if (left <= 0 || poll(&wait, 1, static_cast<int>(left)) <= 0) break;
-      const ssize_t count = recv(descriptor, space.data(), space.size(), 0);
+      pollfd readable{descriptor, POLLIN, 0};
+      std::array<char, 65536> buffer{};
+      if (left <= 0 || poll(&readable, 1, static_cast<int>(left)) <= 0) break;
+      const ssize_t count = recv(descriptor, buffer.data(), buffer.size(), 0);
       if (count <= 0) break;
-      answer.append(space.data(), static_cast<std::size_t>(count));
+      answer.append(buffer.data(), static_cast<std::size_t>(count));
     }
   }
   close(descriptor);
-  json read = json::parse(answer, nullptr, false);
-  return read.is_object() ? read : json();
+  json parsed = json::parse(answer, nullptr, false);
+  return parsed.is_object() ? parsed : json();
 }
 
 }  // namespace
 
 Cluster::Cluster(ClusterOptions options) : options_(std::move(options)) {
-  // Each run of each process has loopback addresses of its own: nobody else can have taken the port
-  // meanwhile.
-  const int run = (getpid() * 7 + runs++) % 62000;
+  // Each cluster of each process uses its own loopback addresses, so that no other process can have taken the
+  // port.
+  const int run = (getpid() * 7 + clusters_created++) % 62000;
   for (int i = 0; i < options_.nodes; ++i)
     addresses_.push_back(fmt::format("127.{}.{}.{}:7946", 1 + run / 250, 1 + run % 250, i + 1));
   relay_ = std::make_unique<Relay>(addresses_, options_.seed);
@@ -66,7 +67,7 @@
 }
 
 Cluster::~Cluster() {
-  done_ = true;
+  stopping_ = true;
   for (std::thread& watcher : watchers_) watcher.join();
   processes_.clear();
 }
@@ -79,24 +80,25 @@
       "[fleet]\nlisten = \"{}\"\nprobe_every = \"{}ms\"\nprobe_timeout = \"{}ms\"\n"
       "exchange_every = \"{}ms\"\nlease = \"{}ms\"\nclock_drift = {}\nsite_hold = \"{}ms\"\ncount_senders = "
       "true\n\n",
-      options_.more, Name(i), options_.discovery ? options_.discovery(i) : "127.0.0.1:9", Folder(i),
-      addresses_[static_cast<std::size_t>(i)], options_.probe_ms, options_.timeout_ms, options_.exchange_ms,
-      options_.lease_ms, options_.drift, options_.hold_ms);
+      options_.top_level_lines, Name(i), options_.discovery ? options_.discovery(i) : "127.0.0.1:9",
+      Folder(i), addresses_[static_cast<std::size_t>(i)], options_.probe_interval_ms,
+      options_.probe_timeout_ms, options_.exchange_interval_ms, options_.lease_ms, options_.clock_drift,
+      options_.site_hold_ms);
   for (int other = 0; other < options_.nodes; ++other) {
     const std::string address =
         other == i ? addresses_[static_cast<std::size_t>(i)] : relay_->AddressFor(i, other);
     file << fmt::format("[[peers]]\nname = \"{}\"\nsite = \"s{}\"\naddress = \"{}\"\nvotes = {}\n\n",
                         Name(other), other % options_.sites, address, other < options_.voters);
   }
-  file << (options_.tables.empty() ? "[[classes]]\nname = \"notice\"\neffect = \"safe\"\naim = "
-                                     "\"1s\"\ndeadline = \"10s\"\nworth = 1\n"
-                                   : options_.tables);
+  file << (options_.extra_tables.empty() ? "[[classes]]\nname = \"notice\"\neffect = \"safe\"\naim = "
+                                           "\"1s\"\ndeadline = \"10s\"\nworth = 1\n"
+                                         : options_.extra_tables);
 }
 
 void Cluster::Start(int i) {
   std::map<std::string, std::string> environment;
-  const auto rate = options_.rates.find(i);
-  if (rate != options_.rates.end())
+  const auto rate = options_.clock_rates.find(i);
+  if (rate != options_.clock_rates.end())
     environment["INDIGOSADDLE_TEST_CLOCK_RATE"] = fmt::format("{}", rate->second);
   processes_[i] = std::make_unique<Process>(
       options_.program,
@@ -112,31 +114,31 @@
 
 std::optional<int> Cluster::Stop(int i) {
   processes_.at(i)->Signal(SIGTERM);
-  const auto status = processes_.at(i)->Ended(std::chrono::seconds(20));
+  const auto status = processes_.at(i)->WaitForExit(std::chrono::seconds(20));
   processes_.erase(i);
   return status;
 }
 
-void Cluster::Forget(int i) {
+void Cluster::WipeState(int i) {
   std::filesystem::remove_all(Folder(i));
   std::filesystem::create_directories(Folder(i));
 }
 
 json Cluster::Status(int i) const { return Ask(Folder(i) + "/c", {{"op", "status"}}); }
 
-json Cluster::Fleet(int i) const {
+json Cluster::FleetStatus(int i) const {
   const json status = Status(i);
   return status.is_object() ? status.value("fleet", json()) : json();
 }
 
-std::string Cluster::State(int i, int of) const {
-  const json fleet = Fleet(i);
-  return fleet.is_object() ? fleet["members"][Name(of)].value("state", "") : "";
+std::string Cluster::MemberState(int observer, int member) const {
+  const json fleet = FleetStatus(observer);
+  return fleet.is_object() ? fleet["members"][Name(member)].value("state", "") : "";
 }
 
-int Cluster::Holder() const {
+int Cluster::LeaseHolder() const {
   for (int i = 0; i < options_.nodes; ++i) {
-    const json fleet = Up(i) ? Fleet(i) : json();
+    const json fleet = IsRunning(i) ? FleetStatus(i) : json();
     if (fleet.is_object() && fleet["leases"].contains("coordinator")) return i;
   }
   return -1;
@@ -149,9 +151,9 @@
   return text.str();
 }
 
-bool Cluster::Eventually(const std::function<bool()>& holds, std::chrono::milliseconds within) {
-  const auto end = Clock::now() + within;
-  while (!holds()) {
+bool Cluster::Eventually(const std::function<bool()>& condition, std::chrono::milliseconds timeout) {
+  const auto end = Clock::now() + timeout;
+  while (!condition()) {
     if (Clock::now() > end) return false;
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
@@ -161,48 +163,50 @@
 void Cluster::WatchLeases() {
   for (int i = 0; i < options_.nodes; ++i) {
     watchers_.emplace_back([this, i] {
-      while (!done_) {
-        Look(i);
-        std::this_thread::sleep_for(kLookEvery);
+      while (!stopping_) {
+        SampleLease(i);
+        std::this_thread::sleep_for(kLeaseSampleInterval);
       }
     });
   }
 }
 
-void Cluster::Look(int i) {
+// Asks the node whether it holds the lease. If it does, it held it at some moment between the request and the
+// answer.
+void Cluster::SampleLease(int i) {
   const auto asked = Clock::now();
-  const json fleet = Fleet(i);
+  const json fleet = FleetStatus(i);
   const auto answered = Clock::now();
   if (!fleet.is_object() || !fleet["leases"].contains("coordinator")) return;
   const auto epoch = fleet["leases"]["coordinator"]["epoch"].get<std::uint64_t>();
   const std::lock_guard lock(mutex_);
-  const auto [it, first] = spans_.try_emplace({epoch, i}, Span{i, answered, asked});
+  const auto [it, first] = hold_intervals_.try_emplace({epoch, i}, HoldInterval{i, answered, asked});
   it->second.to = std::max(it->second.to, asked);
 }
 
-std::string Cluster::Broken() const {
+std::string Cluster::LeaseViolations() const {
   const std::lock_guard lock(mutex_);
-  std::string broken;
-  const std::pair<const std::pair<std::uint64_t, int>, Span>* before = nullptr;
-  for (const auto& one : spans_) {  // by epoch
-    if (before != nullptr) {
-      if (one.first.first == before->first.first) {
-        broken += fmt::format("epoch {} of {} and {}\n", one.first.first, Name(before->second.node),
-                              Name(one.second.node));
+  std::string violations;
+  const std::pair<const std::pair<std::uint64_t, int>, HoldInterval>* previous = nullptr;
+  for (const auto& current : hold_intervals_) {  // by epoch
+    if (previous != nullptr) {
+      if (current.first.first == previous->first.first) {
+        violations += fmt::format("epoch {} was held by both {} and {}\n", current.first.first,
+                                  Name(previous->second.node), Name(current.second.node));
       }
-      if (one.second.from < before->second.to && one.second.node != before->second.node) {
-        broken += fmt::format("{} held epoch {} before {} let {} go\n", Name(one.second.node),
-                              one.first.first, Name(before->second.node), before->first.first);
+      if (current.second.from < previous->second.to && current.second.node != previous->second.node) {
+        violations += fmt::format("{} held epoch {} before {} released epoch {}\n", Name(current.second.node),
+                                  current.first.first, Name(previous->second.node), previous->first.first);
       }
     }
-    before = &one;
+    previous = &current;
   }
-  return broken;
+  return violations;
 }
 
-std::uint64_t Cluster::epochs() const {
+std::uint64_t Cluster::epochs_seen() const {
   const std::lock_guard lock(mutex_);
-  return spans_.size();
+  return hold_intervals_.size();
 }
 
 }  // namespace indigosaddle::faults
--- a/src/faults/relay.h
+++ b/src/faults/relay.h
@@ -1,7 +1,7 @@
-// A network between processes on loopback: one relay for each ordered pair. What `a` knows as the address of
-// `b` is a port of the relay; what it sends there reaches `b` from the port that `b` knows as `a`. So each
-// direction of each pair can be cut, held, slowed, thinned, doubled and put out of order by itself, for
-// datagrams and streams alike.
+// A simulated network between processes on loopback: one relay for each ordered pair of nodes. The address at
+// which `a` reaches `b` is a port of the relay; what `a` sends there reaches `b` from the port at which `b`
+// reaches `a`. Each direction of each pair can thus have faults of its own: datagrams and streams are cut,
+// datagrams are lost, duplicated, delayed and reordered, and streams are passed on byte by byte.
 #pragma once
 
 #include <netinet/in.h>
@@ -23,47 +23,67 @@
 
 namespace indigosaddle::faults {
 
-// One direction of one pair. Any thread may change it.
+// One direction of one pair: its faults and its counts. Any thread may change it.
 struct Link {
-  std::atomic<bool> cut{false};              // nothing passes
-  std::atomic<double> loss{0};               // share of datagrams that do not arrive
-  std::atomic<double> doubled{0};            // share that arrives twice
-  std::atomic<int> least_ms{0}, most_ms{0};  // delay, drawn for each: a wide span puts them out of order
-  std::atomic<bool> split{false};            // streams: bytes pass one by one
-  std::atomic<std::uint64_t> passed{0}, lost{0};
+  std::atomic<bool> cut{false};        // nothing passes; bytes of streams wait, datagrams are dropped
+  std::atomic<double> loss{0};         // share of datagrams that are dropped
+  std::atomic<double> duplication{0};  // share of datagrams that arrive twice
+  std::atomic<int> min_delay_ms{0};    // of datagrams, drawn for each one: a wide range reorders them
+  std::atomic<int> max_delay_ms{0};
+  std::atomic<bool> byte_by_byte{false};    // streams: bytes are passed on one at a time
+  std::atomic<std::uint64_t> forwarded{0};  // datagrams
+  std::atomic<std::uint64_t> dropped{0};    // datagrams
 };
 
+// Runs all relays on a thread of its own. Nodes are numbered from 0.
 class Relay {
  public:
-  // `addresses`: where each of the processes really listens, UDP and TCP, as ip:port.
+  // `addresses`: where each node really listens, with UDP and TCP, as ip:port. `seed`: of losses, duplicates
+  // and delays. Throws std::runtime_error if no port is free.
   Relay(const std::vector<std::string>& addresses, std::uint64_t seed);
   ~Relay();
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
-  std::string AddressFor(int from, int to) const;  // of `to`, as `from` is told
+  // The address at which node `from` reaches node `to`.
+  std::string AddressFor(int from, int to) const;
   Link& link(int from, int to) { return PairOf(from, to).link; }
+  // Cuts or restores one direction.
   void Cut(int from, int to, bool cut = true) { link(from, to).cut = cut; }
-  void Part(const std::vector<int>& side, bool cut = true);  // both ways between these and all others
-  void Heal();                                               // all links are as at the start
-  void ResetStreams();                                       // every stream that is open ends with a reset
+  // Cuts or restores both directions between the nodes of `side` and all other nodes.
+  void Partition(const std::vector<int>& side, bool cut = true);
+  // Removes all faults from all links.
+  void Heal();
+  // Ends every open stream with a reset.
+  void ResetStreams();
 
  private:
   struct Pair {
-    int from = 0, to = 0, port = 0;
-    int udp = -1, listener = -1;
+    int from = 0;
+    int to = 0;
+    int port = 0;       // of both sockets
+    int udp = -1;       // -1: `from` and `to` are the same node
+    int listener = -1;  // TCP
     Link link;
   };
+  // A TCP connection that node `from` opened to node `to`.
   struct Stream {
-    int from = 0, to = 0;  // who opened it, to whom
-    int near = -1, far = -1;
-    bool near_ended = false, far_ended = false;
+    int from = 0;
+    int to = 0;
+    int opener_socket = -1;     // the connection from `from`
+    int target_socket = -1;     // the connection to `to`
+    bool opener_ended = false;  // the end of its bytes was read
+    bool target_ended = false;
   };
-  struct Late {
-    std::chrono::steady_clock::time_point at;
-    std::uint64_t order;
-    std::function<void()> act;
-    bool operator<(const Late& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
+  // A datagram that is sent once its delay is over.
+  struct DelayedDatagram {
+    std::chrono::steady_clock::time_point due;
+    std::uint64_t order;  // of arrival, for those due at the same time
+    std::function<void()> send;
+    // Reversed, so that the priority queue has the earliest on top.
+    bool operator<(const DelayedDatagram& other) const {
+      return std::tie(due, order) > std::tie(other.due, other.order);
+    }
   };
 
   Pair& PairOf(int from, int to) { return *pairs_[Index(from, to)]; }
@@ -72,19 +92,20 @@
     return static_cast<std::size_t>(from) * addresses_.size() + static_cast<std::size_t>(to);
   }
   void Run();
-  void TakeDatagrams(Pair& pair);
-  void TakeStream(Pair& pair);
-  bool Pump(Stream& stream, bool outward);
-  bool Chance(double share);
-  std::chrono::milliseconds Delay(const Link& link);
+  void ReceiveDatagrams(Pair& pair);
+  void AcceptStream(Pair& pair);
+  bool ForwardBytes(Stream& stream, bool from_opener);
+  bool RandomlyTrue(double probability);
+  std::chrono::milliseconds RandomDelay(const Link& link);
 
   std::vector<sockaddr_in> addresses_;
-  std::vector<std::unique_ptr<Pair>> pairs_;
+  std::vector<std::unique_ptr<Pair>> pairs_;  // by Index
   std::vector<std::unique_ptr<Stream>> streams_;
-  std::priority_queue<Late> late_;
-  std::uint64_t order_ = 0;
+  std::priority_queue<DelayedDatagram> delayed_;
+  std::uint64_t last_order_ = 0;
   std::mt19937_64 random_;
-  std::atomic<bool> done_{false}, reset_{false};
+  std::atomic<bool> stopping_{false};
+  std::atomic<bool> reset_requested_{false};
   std::thread thread_;
 };
 
--- a/tests/fleet/lost_processes_test.cpp
+++ b/tests/fleet/lost_processes_test.cpp
@@ -21,37 +21,37 @@
 // Clocks as far off as the configured drift allows, with the holder killed or frozen repeatedly.
 TEST_F(FleetProcesses, ClockDriftGivesNoLeaseTwoHolders) {
   StartCluster(3, 3, [](ClusterOptions& options) {
-    options.rates = {{0, 0.99}, {1, 1.01}, {2, 1.0}};
-    options.drift = 0.01;
+    options.clock_rates = {{0, 0.99}, {1, 1.01}, {2, 1.0}};
+    options.clock_drift = 0.01;
   });
   for (int round = 0; round < 3; ++round) {
-    ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->Holder() >= 0; }));
-    const int holder = cluster->Holder();
-    round == 1 ? cluster->Freeze(holder) : cluster->Kill(holder);
+    ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->LeaseHolder() >= 0; }));
+    const int holder = cluster->LeaseHolder();
+    round == 1 ? cluster->Suspend(holder) : cluster->Kill(holder);
     ASSERT_TRUE(Eventually([&] {
       for (int i = 0; i < 3; ++i)
-        if (i != holder && cluster->Fleet(i)["leases"].contains("coordinator")) return true;
+        if (i != holder && cluster->FleetStatus(i)["leases"].contains("coordinator")) return true;
       return false;
     }));
-    round == 1 ? cluster->Thaw(holder) : cluster->Start(holder);
+    round == 1 ? cluster->Resume(holder) : cluster->Start(holder);
   }
-  EXPECT_TRUE(Eventually([&] { return cluster->epochs() >= 4; }, seconds(5)));
+  EXPECT_TRUE(Eventually([&] { return cluster->epochs_seen() >= 4; }, seconds(5)));
 }
 
 TEST_F(FleetProcesses, AVoterThatLostItsMemoryAsksTheOthers) {
   StartCluster(3, 3);
-  ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->Holder() >= 0; }));
-  const int holder = cluster->Holder(), lost = (holder + 1) % 3;
+  ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->LeaseHolder() >= 0; }));
+  const int holder = cluster->LeaseHolder(), lost = (holder + 1) % 3;
   const std::uint64_t epoch = Epoch(holder);
   cluster->Kill(lost);
-  cluster->Forget(lost);
+  cluster->WipeState(lost);
   cluster->Kill(holder);
   cluster->Start(lost);
   // The restarted voter needs replies from both others and only one is up: no lease, here for three terms.
-  EXPECT_FALSE(Eventually([&] { return cluster->Holder() >= 0; }, seconds(6)));
+  EXPECT_FALSE(Eventually([&] { return cluster->LeaseHolder() >= 0; }, seconds(6)));
   cluster->Start(holder);
-  ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->Holder() >= 0; }));
-  EXPECT_GT(Epoch(cluster->Holder()), epoch);
+  ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->LeaseHolder() >= 0; }));
+  EXPECT_GT(Epoch(cluster->LeaseHolder()), epoch);
 }
 
 TEST_F(FleetProcesses, ADamagedMemoryFileIsLoggedAndCountsAsLost) {
@@ -66,26 +66,26 @@
 
 TEST_F(FleetProcesses, AFleetRestartedAtOnceRecovers) {
   StartCluster(5, 5);
-  ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->Holder() >= 0; }));
-  const std::uint64_t epoch = Epoch(cluster->Holder());
+  ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->LeaseHolder() >= 0; }));
+  const std::uint64_t epoch = Epoch(cluster->LeaseHolder());
   for (int i = 0; i < 5; ++i) cluster->Kill(i);
   cluster->StartAll();
-  ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->Holder() >= 0; }));
-  EXPECT_GT(Epoch(cluster->Holder()), epoch);
+  ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->LeaseHolder() >= 0; }));
+  EXPECT_GT(Epoch(cluster->LeaseHolder()), epoch);
 }
 
 // A whole site is frozen past its members' leases and resumed together.
 TEST_F(FleetProcesses, ASiteFrozenPastItsLeasesRecovers) {
   StartCluster(6, 6);  // three sites of two
-  ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->Holder() >= 0; }));
-  const int holder = cluster->Holder(), twin = (holder + 3) % 6;
-  cluster->Freeze(holder), cluster->Freeze(twin);
+  ASSERT_TRUE(Eventually([&] { return AllConnected() && cluster->LeaseHolder() >= 0; }));
+  const int holder = cluster->LeaseHolder(), twin = (holder + 3) % 6;
+  cluster->Suspend(holder), cluster->Suspend(twin);
   ASSERT_TRUE(Eventually([&] {
     for (int i = 0; i < 6; ++i)
-      if (i != holder && i != twin && cluster->Fleet(i)["leases"].contains("coordinator")) return true;
+      if (i != holder && i != twin && cluster->FleetStatus(i)["leases"].contains("coordinator")) return true;
     return false;
   }));
-  cluster->Thaw(holder), cluster->Thaw(twin);
+  cluster->Resume(holder), cluster->Resume(twin);
   EXPECT_TRUE(Eventually([&] { return AllConnected(); }));
 }
 
@@ -103,7 +103,7 @@
     switch (random() % 7) {
       case 0:
       case 1:
-        if (cluster->Up(one)) {
+        if (cluster->IsRunning(one)) {
           cluster->Kill(one);
           frozen.erase(one);
         } else {
@@ -111,24 +111,25 @@
         }
         break;
       case 2:
-        if (cluster->Up(one)) cluster->Freeze(one), frozen.insert(one);
+        if (cluster->IsRunning(one)) cluster->Suspend(one), frozen.insert(one);
         break;
-      case 3: cluster->relay().Part({one, two}); break;
+      case 3: cluster->relay().Partition({one, two}); break;
       case 4: cluster->relay().Cut(one, two); break;
       default:
         cluster->relay().Heal();
-        for (const int i : frozen) cluster->Thaw(i);
+        for (const int i : frozen) cluster->Resume(i);
         frozen.clear();
     }
-    const int held = cluster->Holder();  // slow where some are frozen, so that time passes between faults
+    const int held =
+        cluster->LeaseHolder();  // slow where some are frozen, so that time passes between faults
     static_cast<void>(held);
     std::this_thread::sleep_for(milliseconds(random() % 900));
   }
   cluster->relay().Heal();
-  for (const int i : frozen) cluster->Thaw(i);
+  for (const int i : frozen) cluster->Resume(i);
   for (int i = 0; i < 5; ++i)
-    if (!cluster->Up(i)) cluster->Start(i);
-  EXPECT_TRUE(Eventually([&] { return AllConnected() && cluster->Holder() >= 0; }));
+    if (!cluster->IsRunning(i)) cluster->Start(i);
+  EXPECT_TRUE(Eventually([&] { return AllConnected() && cluster->LeaseHolder() >= 0; }));
 }
 
 // Without [fleet] in the configuration no second thread runs and no fleet.memory is written.
--- a/tests/fleet/processes.h
+++ b/tests/fleet/processes.h
@@ -34,7 +34,7 @@
   }
   void TearDown() override {
     if (cluster == nullptr) return;
-    EXPECT_EQ(cluster->Broken(), "");
+    EXPECT_EQ(cluster->LeaseViolations(), "");
     if (!HasFailure()) return;
     for (int i = 0; i < nodes_; ++i) std::cerr << "---- " << Cluster::Name(i) << "\n" << cluster->Log(i);
   }
@@ -45,7 +45,7 @@
   // Whether each of these nodes reports that standing and that number of senders.
   bool AllHave(const std::vector<int>& who, const std::string& standing, int senders) const {
     for (const int i : who) {
-      const auto fleet = cluster->Fleet(i);
+      const auto fleet = cluster->FleetStatus(i);
       if (!fleet.is_object() || fleet["standing"] != standing || fleet["senders"] != senders) return false;
     }
     return true;
@@ -56,10 +56,10 @@
     return all;
   }
   bool AllConnected() const { return AllHave(AllNodes(), "connected", nodes_); }
-  std::uint64_t Epoch(int i) const { return cluster->Fleet(i)["leases"]["coordinator"]["epoch"]; }
+  std::uint64_t Epoch(int i) const { return cluster->FleetStatus(i)["leases"]["coordinator"]["epoch"]; }
   // The epoch under which the node reports to hold the coordinator's lease; 0 where it does not, or is down.
   std::uint64_t HeldEpoch(int i) const {
-    const auto fleet = cluster->Fleet(i);
+    const auto fleet = cluster->FleetStatus(i);
     return fleet.is_object() && fleet["leases"].contains("coordinator")
                ? fleet["leases"]["coordinator"]["epoch"].get<std::uint64_t>()
                : 0;
--- a/tests/fleet/site_processes_test.cpp
+++ b/tests/fleet/site_processes_test.cpp
@@ -22,7 +22,7 @@
   void SetUp() override {
     StartCluster(6, 5, [&](ClusterOptions& options) {
       options.discovery = [&](int i) { return i % 3 == 0 ? own.address() : other.address(); };
-      options.tables =
+      options.extra_tables =
           "[[classes]]\nname = \"notice\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"10s\"\nworth = 1\n\n"
           "[[zones]]\nname = \"z0\"\n\n[[zones]]\nname = \"z1\"\n\n[[zones]]\nname = \"z2\"\n\n"
           "[[sites]]\nname = \"s1\"\nzone = \"z1\"\n";
@@ -32,7 +32,7 @@
   // Whether all of these nodes report these states of the three sites.
   bool Agree(const std::vector<int>& who, const std::vector<std::string>& states) const {
     for (const int i : who) {
-      const auto fleet = cluster->Fleet(i);
+      const auto fleet = cluster->FleetStatus(i);
       if (!fleet.is_object()) return false;
       for (std::size_t site = 0; site < 3; ++site) {
         const auto& sites = fleet["sites"];
@@ -57,7 +57,7 @@
 }
 
 TEST_F(SiteProcesses, APartitionedSiteIsLostToTheOthersAndAccusesNobody) {
-  cluster->relay().Part({0, 3});
+  cluster->relay().Partition({0, 3});
   ASSERT_TRUE(Eventually([&] { return Agree({1, 2, 4, 5}, {"lost", "up", "up"}); }));
   EXPECT_TRUE(Eventually([&] { return AllHave({0, 3}, "cut off", 6); }));
   EXPECT_TRUE(Agree({0, 3}, {"up", "up", "up"}));  // the last agreed state
@@ -68,9 +68,9 @@
 // Frozen past its leases and resumed: its members must not report other sites lost for packets that they
 // missed.
 TEST_F(SiteProcesses, AFrozenSiteIsLostAndAccusesNobodyElse) {
-  cluster->Freeze(2), cluster->Freeze(5);
+  cluster->Suspend(2), cluster->Suspend(5);
   ASSERT_TRUE(Eventually([&] { return Agree({0, 1, 3, 4}, {"up", "up", "lost"}); }));
-  cluster->Thaw(2), cluster->Thaw(5);
+  cluster->Resume(2), cluster->Resume(5);
   EXPECT_TRUE(Eventually([&] { return AllUp(); }));
   for (const int i : {2, 5}) {
     EXPECT_EQ(cluster->Log(i).find("site=s0 state=lost"), std::string::npos);
@@ -84,7 +84,7 @@
   for (const int from : {1, 4})
     for (const int to : {0, 2, 3, 5}) cluster->relay().Cut(from, to);
   ASSERT_TRUE(Eventually([&] { return Agree({0, 2, 3, 5}, {"up", "lost", "up"}); }));
-  EXPECT_TRUE(Eventually([&] { return cluster->Fleet(1)["standing"] == "cut off"; }));
+  EXPECT_TRUE(Eventually([&] { return cluster->FleetStatus(1)["standing"] == "cut off"; }));
   cluster->relay().Heal();
   EXPECT_TRUE(Eventually([&] { return AllUp(); }));
 }
@@ -110,8 +110,8 @@
 
 // The coordinator dies with its site: the next coordinator must still detect the loss.
 TEST_F(SiteProcesses, LossOfTheCoordinatorsSiteIsDetected) {
-  ASSERT_TRUE(Eventually([&] { return cluster->Holder() >= 0; }));
-  const int site = cluster->Holder() % 3;
+  ASSERT_TRUE(Eventually([&] { return cluster->LeaseHolder() >= 0; }));
+  const int site = cluster->LeaseHolder() % 3;
   cluster->Kill(site), cluster->Kill(site + 3);
   std::vector<int> rest;
   for (int i = 0; i < 6; ++i)
