--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -1,6 +1,5 @@
-// The commands of the program: one file a sub-command. Results go to standard output, words for people to
-// standard error. Exit status: 0 done; 1 it could not be done; 2 the input is wrong; 3 a check found
-// something.
+// The program's command line: one source file for each subcommand. Results go to standard output, messages
+// for people to standard error. The exit status is an ExitStatus.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -12,21 +11,26 @@
 
 namespace indigosaddle::cli {
 
-enum class Exit { kDone = 0, kFailed = 1, kBadInput = 2, kFound = 3 };
+// Exit status of the program. kBadInput: an argument or a file is wrong; kProblemFound: a check found a
+// problem.
+enum class ExitStatus { kDone = 0, kFailed = 1, kBadInput = 2, kProblemFound = 3 };
 
-// Ends a command with a status and a word for people; an empty one has been said already.
-class Failure : public std::runtime_error {
+// Ends a command with an exit status and a message for standard error. An empty message: it was printed
+// already.
+class CommandError : public std::runtime_error {
  public:
-  Failure(Exit status, const std::string& text) : std::runtime_error(text), status_(status) {}
-  Exit status() const { return status_; }
+  CommandError(ExitStatus status, const std::string& text) : std::runtime_error(text), status_(status) {}
+  ExitStatus status() const { return status_; }
 
  private:
-  Exit status_;
+  ExitStatus status_;
 };
 
-// Each adds itself to `parent`; its work is done from within CLI11's parse and may throw Failure.
+// Each function adds one subcommand to `parent` or `config`. The subcommand runs while CLI11 parses the
+// arguments, and may throw CommandError.
 void AddServe(CLI::App& parent);
-void AddConfig(CLI::App& parent);  // and its six commands
+// Also adds the seven subcommands of `config` below.
+void AddConfig(CLI::App& parent);
 void AddConfigCheck(CLI::App& config);
 void AddConfigShow(CLI::App& config);
 void AddConfigSchema(CLI::App& config);
@@ -38,29 +42,39 @@
 void AddStatus(CLI::App& parent);
 void AddDocs(CLI::App& parent);
 
-// Serves until it is told to stop. `file` may be empty, `kill_at` is for tests alone.
+// Runs the node until a signal stops it. `file` is the operator's file; empty: none. `kill_at` is for tests:
+// the process ends by SIGKILL at the step of that name; empty: never. Throws CommandError.
 void Serve(const std::string& file, const std::string& kill_at);
 
-// ---- Shared -----------------------------------------------------------------------------------------------
+// ---- Shared by the commands -------------------------------------------------------------------------------
 
-std::string ReadText(const std::string& path);  // throws Failure
+// Reads a whole file. Throws CommandError(kBadInput) if it can't be read.
+std::string ReadFileText(const std::string& path);
 
-// The configuration of a file, TOML or the platform's JSON by its name's end, with the environment's EDGE_
-// variables. Throws Failure(kBadInput) with every fault, a line each.
-node::Config ConfigOf(const std::string& file);
+// The configuration of a file with the environment's EDGE_ variables applied. A file whose name ends in .json
+// is the platform's, any other is the operator's TOML. Throws CommandError(kBadInput) with all faults, one
+// per line.
+node::Config LoadConfig(const std::string& file);
 
-// How a command finds the node's control socket: --socket, or the folder and name that --config gives, or
-// EDGE_STATE and the usual name.
-struct Target {
-  std::string socket, file;
-  void AddTo(CLI::App& command);
-  std::string Path() const;  // throws Failure
+// Options that say how to reach a running node: its control socket (--socket), or the operator's file that
+// names the state folder and the socket (--config). Without them, EDGE_STATE is the state folder and the
+// socket has its usual name.
+struct ControlTarget {
+  std::string socket;
+  std::string file;
+  void AddOptionsTo(CLI::App& command);
+  // The path of the control socket. Throws CommandError(kBadInput) if neither an option nor EDGE_STATE says
+  // which node to ask, or if the operator's file can't be used or names no socket.
+  std::string SocketPath() const;
 };
 
-// One request to the running node, and its answer. Throws Failure where there is none within the time.
-nlohmann::json Ask(const std::string& socket, const nlohmann::json& request);
+// Sends one request to the running node and returns its answer, a JSON object. Throws CommandError if the
+// node can't be reached or does not answer in time.
+nlohmann::json SendRequest(const std::string& socket, const nlohmann::json& request);
 
-std::string User();  // who runs the command
-std::string TimeOf(std::int64_t millis);
+// Name of the user who runs the command.
+std::string CurrentUser();
+// UTC date and time, of milliseconds since 1970.
+std::string FormatTime(std::int64_t millis);
 
 }  // namespace indigosaddle::cli
--- a/src/cli/config_check.cpp
+++ b/src/cli/config_check.cpp
@@ -17,16 +17,16 @@
   command->callback([file, json] {
     std::string faults;
     try {
-      ConfigOf(*file);
-    } catch (const Failure& failure) {
-      faults = failure.what();
+      LoadConfig(*file);
+    } catch (const CommandError& error) {
+      faults = error.what();
     }
     if (*json) {
       nlohmann::json lines = nlohmann::json::array();
-      for (std::size_t from = 0; from < faults.size();) {
-        const std::size_t end = std::min(faults.find('\n', from), faults.size());
-        lines.push_back(faults.substr(from, end - from));
-        from = end + 1;
+      for (std::size_t start = 0; start < faults.size();) {
+        const std::size_t end = std::min(faults.find('\n', start), faults.size());
+        lines.push_back(faults.substr(start, end - start));
+        start = end + 1;
       }
       fmt::print("{}\n", nlohmann::json{{"ok", faults.empty()}, {"faults", lines}}.dump());
     } else if (faults.empty()) {
@@ -34,7 +34,7 @@
     } else {
       fmt::print(stderr, "{}\n", faults);
     }
-    if (!faults.empty()) throw Failure(Exit::kBadInput, "");
+    if (!faults.empty()) throw CommandError(ExitStatus::kBadInput, "");
   });
 }
 
--- a/src/cli/config_diff.cpp
+++ b/src/cli/config_diff.cpp
@@ -11,39 +11,43 @@
       "  indigosaddle config diff new.toml            (against the running node)");
   struct Options {
     std::string file, against;
-    Target target;
+    ControlTarget target;
     bool json = false;
   };
   auto options = std::make_shared<Options>();
   command->add_option("FILE", options->file, "The file")->required();
   command->add_option("--against", options->against, "Another file, instead of the running node");
-  options->target.AddTo(*command);
+  options->target.AddOptionsTo(*command);
   command->add_flag("--json", options->json, "As JSON");
   command->callback([options] {
-    const std::vector<config::Shown> after = ConfigOf(options->file).shown;
+    const std::vector<config::Shown> after = LoadConfig(options->file).shown;
     std::vector<config::Shown> before;
     if (!options->against.empty()) {
-      before = ConfigOf(options->against).shown;
+      before = LoadConfig(options->against).shown;
     } else {
-      Target target = options->target;
+      ControlTarget target = options->target;
       if (target.socket.empty() && target.file.empty()) target.file = options->file;
-      const nlohmann::json running = Ask(target.Path(), {{"op", "show"}});
-      for (const auto& one : running.at("values")) {
-        before.push_back({one.at("path"), one.at("value"), one.at("from"), config::Change::kRunning});
+      const nlohmann::json running = SendRequest(target.SocketPath(), {{"op", "show"}});
+      for (const auto& value : running.at("values")) {
+        before.push_back({value.at("path"), value.at("value"), value.at("from"), config::Change::kRunning});
       }
     }
-    nlohmann::json all = nlohmann::json::array();
-    for (const config::Difference& d : config::Differences(before, after)) {
-      const config::Item* item = config::Find(d.path);
-      const bool restart =
-          item != nullptr ? item->change == config::Change::kRestart : d.change == config::Change::kRestart;
+    nlohmann::json differences = nlohmann::json::array();
+    for (const config::Difference& difference : config::Differences(before, after)) {
+      const config::Item* item = config::Find(difference.path);
+      const bool restart = item != nullptr ? item->change == config::Change::kRestart
+                                           : difference.change == config::Change::kRestart;
       if (options->json) {
-        all.push_back({{"path", d.path}, {"before", d.before}, {"after", d.after}, {"restart", restart}});
+        differences.push_back({{"path", difference.path},
+                               {"before", difference.before},
+                               {"after", difference.after},
+                               {"restart", restart}});
       } else {
-        fmt::print("{}: {} -> {}{}\n", d.path, d.before, d.after, restart ? "  (with a restart)" : "");
+        fmt::print("{}: {} -> {}{}\n", difference.path, difference.before, difference.after,
+                   restart ? "  (with a restart)" : "");
       }
     }
-    if (options->json) fmt::print("{}\n", all.dump(2));
+    if (options->json) fmt::print("{}\n", differences.dump(2));
   });
 }
 
--- a/src/cli/config_history.cpp
+++ b/src/cli/config_history.cpp
@@ -11,31 +11,32 @@
       "Examples:\n  indigosaddle config history --config indigosaddle.toml\n"
       "  indigosaddle config history --state /var/lib/indigosaddle   (the node need not run)");
   struct Options {
-    std::string state;
-    Target target;
+    std::string state_folder;
+    ControlTarget target;
     bool json = false;
   };
   auto options = std::make_shared<Options>();
-  command->add_option("--state", options->state, "The state folder, read as it stands");
-  options->target.AddTo(*command);
+  command->add_option("--state", options->state_folder,
+                      "The state folder to read, instead of asking the node");
+  options->target.AddOptionsTo(*command);
   command->add_flag("--json", options->json, "As JSON");
   command->callback([options] {
-    nlohmann::json all = nlohmann::json::array();
-    if (options->state.empty()) {
-      all = Ask(options->target.Path(), {{"op", "history"}}).at("generations");
+    nlohmann::json generations = nlohmann::json::array();
+    if (options->state_folder.empty()) {
+      generations = SendRequest(options->target.SocketPath(), {{"op", "history"}}).at("generations");
     } else {
       config::History history;
-      std::string trouble;
-      if (!config::Store(options->state, 0).Load(history, trouble, false))
-        throw Failure(Exit::kFound, trouble);
-      all = config::ListOf(history);
+      std::string error;
+      if (!config::Store(options->state_folder, 0).Load(history, error, false))
+        throw CommandError(ExitStatus::kProblemFound, error);
+      generations = config::ListOf(history);
     }
-    if (options->json) return fmt::print("{}\n", all.dump(2));
-    for (const auto& one : all) {
-      fmt::print("{:>4}  {}  {:<8}  {:<12}  {}\n      {}\n", one["generation"].get<std::uint64_t>(),
-                 TimeOf(one["at_ms"].get<std::int64_t>()), one["result"].get<std::string>(),
-                 one["author"].get<std::string>(), one["reason"].get<std::string>(),
-                 one["why"].get<std::string>());
+    if (options->json) return fmt::print("{}\n", generations.dump(2));
+    for (const auto& generation : generations) {
+      fmt::print("{:>4}  {}  {:<8}  {:<12}  {}\n      {}\n", generation["generation"].get<std::uint64_t>(),
+                 FormatTime(generation["at_ms"].get<std::int64_t>()), generation["result"].get<std::string>(),
+                 generation["author"].get<std::string>(), generation["reason"].get<std::string>(),
+                 generation["why"].get<std::string>());
     }
   });
 }
--- a/src/cli/config_show.cpp
+++ b/src/cli/config_show.cpp
@@ -13,33 +13,36 @@
       "  indigosaddle config show --running --config indigosaddle.toml");
   struct Options {
     std::string file;
-    Target target;
+    ControlTarget target;
     bool running = false, json = false;
   };
   auto options = std::make_shared<Options>();
   command->add_option("FILE", options->file, "The file; without one, what EDGE_CONFIG names");
-  command->add_flag("--running", options->running, "Of the running node, by its control socket");
-  options->target.AddTo(*command);
+  command->add_flag("--running", options->running,
+                    "Show the values of the running node, asked through its control socket");
+  options->target.AddOptionsTo(*command);
   command->add_flag("--json", options->json, "As JSON");
   command->callback([options] {
     nlohmann::json values = nlohmann::json::array();
     if (options->running) {
-      values = Ask(options->target.Path(), {{"op", "show"}}).at("values");
+      values = SendRequest(options->target.SocketPath(), {{"op", "show"}}).at("values");
     } else {
       const std::string file = options->file.empty() ? options->target.file : options->file;
-      for (const config::Shown& shown : ConfigOf(file).shown) {
+      for (const config::Shown& shown : LoadConfig(file).shown) {
         values.push_back({{"path", shown.path}, {"value", shown.value}, {"from", shown.from}});
       }
     }
     if (options->json) return fmt::print("{}\n", values.dump(2));
-    std::size_t widest = 0, longest = 0;
-    for (const auto& one : values) {
-      widest = std::max(widest, one["path"].get<std::string>().size());
-      longest = std::max(longest, std::min<std::size_t>(40, one["value"].get<std::string>().size()));
+    std::size_t path_width = 0;
+    std::size_t value_width = 0;  // at most 40: longer values are not aligned
+    for (const auto& value : values) {
+      path_width = std::max(path_width, value["path"].get<std::string>().size());
+      value_width =
+          std::max(value_width, std::min<std::size_t>(40, value["value"].get<std::string>().size()));
     }
-    for (const auto& one : values) {
-      fmt::print("{:<{}}  {:<{}}  {}\n", one["path"].get<std::string>(), widest,
-                 one["value"].get<std::string>(), longest, one["from"].get<std::string>());
+    for (const auto& value : values) {
+      fmt::print("{:<{}}  {:<{}}  {}\n", value["path"].get<std::string>(), path_width,
+                 value["value"].get<std::string>(), value_width, value["from"].get<std::string>());
     }
   });
 }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-using indigosaddle::cli::Exit;
+using indigosaddle::cli::ExitStatus;
 
-int Say(Exit status, const char* text) {
+// Prints the message, unless it is empty, and returns the exit status as a number.
+int Report(ExitStatus status, const char* text) {
   if (text[0] != '\0') fmt::print(stderr, "indigosaddle: {}\n", text);
   return static_cast<int>(status);
 }
@@ -20,7 +21,7 @@
 int main(int argc, char** argv) {
   namespace cli = indigosaddle::cli;
   try {
-    if (argc == 1) {  // as the platform starts it
+    if (argc == 1) {  // the platform starts the program without arguments
       cli::Serve("", "");
       return 0;
     }
@@ -31,8 +32,9 @@
     app.footer(
         "Examples:\n  indigosaddle serve --config indigosaddle.toml\n"
         "  indigosaddle config check indigosaddle.toml\n  indigosaddle status --config indigosaddle.toml\n"
-        "Exit status: 0 done, 1 it could not be done, 2 the input is wrong, 3 a check found something.");
-    // `indigosaddle --config FILE` is short for `serve`.
+        "ExitStatus status: 0 done, 1 it could not be done, 2 the input is wrong, 3 a check found "
+        "something.");
+    // `indigosaddle --config FILE` is short for `indigosaddle serve --config FILE`.
     std::string file;
     app.add_option("--config", file, "The operator's file (TOML); serves with it");
     app.require_subcommand(0, 1);
@@ -45,12 +47,12 @@
       app.parse(argc, argv);
       if (app.get_subcommands().empty()) cli::Serve(file, "");
     } catch (const CLI::ParseError& error) {
-      return app.exit(error) == 0 ? 0 : static_cast<int>(Exit::kBadInput);
+      return app.exit(error) == 0 ? 0 : static_cast<int>(ExitStatus::kBadInput);
     }
     return 0;
-  } catch (const cli::Failure& failure) {
-    return Say(failure.status(), failure.what());
+  } catch (const cli::CommandError& error) {
+    return Report(error.status(), error.what());
   } catch (const std::exception& error) {
-    return Say(Exit::kFailed, error.what());
+    return Report(ExitStatus::kFailed, error.what());
   }
 }
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -15,46 +15,47 @@
 namespace indigosaddle::cli {
 namespace {
 
-// Tells the node to stop on SIGTERM and SIGINT and to read its configuration again on SIGHUP, through the
-// loop. Until it is made the three wait, so that one that comes during the start is heard after it.
-class Signals {
+// Handles signals in the loop: the node stops on SIGTERM and SIGINT, and reloads its configuration on SIGHUP.
+// Block() is called before the node starts, so that signals that arrive during the start stay pending until a
+// SignalHandlers is constructed. The destructor blocks them again.
+class SignalHandlers {
  public:
-  static sigset_t Set() {
+  static sigset_t HandledSignals() {
     sigset_t set;
     sigemptyset(&set);
-    for (int number : kNumbers) sigaddset(&set, number);
+    for (int signal_number : kSignals) sigaddset(&set, signal_number);
     return set;
   }
-  static void Hold() {
-    const sigset_t set = Set();
+  static void Block() {
+    const sigset_t set = HandledSignals();
     sigprocmask(SIG_BLOCK, &set, nullptr);
   }
 
-  Signals(net::Loop& loop, node::Node& node) : loop_(loop.raw()) {
+  SignalHandlers(net::Loop& loop, node::Node& node) : loop_(loop.raw()) {
     for (std::size_t i = 0; i < handles_.size(); ++i) {
       uv_signal_init(loop_, &handles_[i]);
       handles_[i].data = &node;
       uv_signal_start(
           &handles_[i],
-          [](uv_signal_t* handle, int number) {
-            auto* told = static_cast<node::Node*>(handle->data);
-            number == SIGHUP ? told->Reload() : told->Stop();
+          [](uv_signal_t* handle, int signal_number) {
+            auto* signaled_node = static_cast<node::Node*>(handle->data);
+            signal_number == SIGHUP ? signaled_node->Reload() : signaled_node->Stop();
           },
-          kNumbers[i]);
+          kSignals[i]);
     }
-    const sigset_t set = Set();
+    const sigset_t set = HandledSignals();
     sigprocmask(SIG_UNBLOCK, &set, nullptr);
   }
-  ~Signals() {
-    Hold();
+  ~SignalHandlers() {
+    Block();
     for (uv_signal_t& handle : handles_) uv_close(reinterpret_cast<uv_handle_t*>(&handle), nullptr);
     uv_run(loop_, UV_RUN_NOWAIT);
   }
-  Signals(const Signals&) = delete;
-  Signals& operator=(const Signals&) = delete;
+  SignalHandlers(const SignalHandlers&) = delete;
+  SignalHandlers& operator=(const SignalHandlers&) = delete;
 
  private:
-  static constexpr std::array<int, 3> kNumbers = {SIGTERM, SIGINT, SIGHUP};
+  static constexpr std::array<int, 3> kSignals = {SIGTERM, SIGINT, SIGHUP};
   std::array<uv_signal_t, 3> handles_{};
   uv_loop_t* loop_;
 };
@@ -63,23 +64,23 @@
 
 void Serve(const std::string& file, const std::string& kill_at) {
   std::signal(SIGPIPE, SIG_IGN);
-  Signals::Hold();
-  node::StepHook step;
+  SignalHandlers::Block();
+  node::StepHook step_hook;
   if (!kill_at.empty()) {
-    step = [kill_at](const char* name) {
-      if (kill_at == name) raise(SIGKILL);
+    step_hook = [kill_at](const char* step) {
+      if (kill_at == step) raise(SIGKILL);
     };
   }
   try {
-    node::Beginning beginning = node::Begin(node::EdgeEnvironment(), file, step);
+    node::Beginning beginning = node::Begin(node::EdgeEnvironment(), file, step_hook);
     base::Log log(beginning.config.name, beginning.config.log);
     net::Loop loop;
     node::Node node(loop, std::move(beginning), log);
-    if (!node.Start()) throw Failure(Exit::kFailed, "");
-    const Signals signals(loop, node);
+    if (!node.Start()) throw CommandError(ExitStatus::kFailed, "");
+    const SignalHandlers signal_handlers(loop, node);
     loop.Run();
   } catch (const node::ConfigError& error) {
-    throw Failure(Exit::kBadInput, fmt::format("configuration: {}", error.what()));
+    throw CommandError(ExitStatus::kBadInput, fmt::format("configuration: {}", error.what()));
   }
 }
 
--- a/src/cli/status.cpp
+++ b/src/cli/status.cpp
@@ -5,48 +5,50 @@
 namespace indigosaddle::cli {
 
 void AddStatus(CLI::App& parent) {
-  auto* command = parent.add_subcommand("status", "What the running node holds and does");
+  auto* command = parent.add_subcommand("status", "Shows the state and the counters of the running node");
   command->footer("Example:\n  indigosaddle status --config indigosaddle.toml --json");
-  auto target = std::make_shared<Target>();
+  auto target = std::make_shared<ControlTarget>();
   auto json = std::make_shared<bool>(false);
-  target->AddTo(*command);
+  target->AddOptionsTo(*command);
   command->add_flag("--json", *json, "As JSON");
   command->callback([target, json] {
-    const auto status = Ask(target->Path(), {{"op", "status"}});
+    const auto status = SendRequest(target->SocketPath(), {{"op", "status"}});
     if (*json) return fmt::print("{}\n", status.dump(2));
-    const auto& c = status.at("configuration");
-    const auto& m = status.at("messages");
-    const auto number = [](const nlohmann::json& at, const char* name) {
-      return at.at(name).get<std::uint64_t>();
+    const auto& configuration = status.at("configuration");
+    const auto& messages = status.at("messages");
+    const auto number = [](const nlohmann::json& object, const char* name) {
+      return object.at(name).get<std::uint64_t>();
     };
     fmt::print("{} {}, process {}, serves on {} for {:.0f} s, {}{}\n", status.at("name").get<std::string>(),
                status.at("version").get<std::string>(), number(status, "pid"),
                status.at("address").get<std::string>(), status.at("serving_ms").get<double>() / 1000,
                status.at("state").get<std::string>(),
                status.at("waits_to_take_over").get<bool>() ? ", waits to take over" : "");
-    fmt::print("configuration: generation {}", number(c, "generation"));
-    if (c.at("on_trial").get<bool>())
-      fmt::print(" on trial for {:.1f} s more", c.at("trial_left_ms").get<double>() / 1000);
-    fmt::print(", {} changes wait\n", number(c, "waiting"));
+    fmt::print("configuration: generation {}", number(configuration, "generation"));
+    if (configuration.at("on_trial").get<bool>())
+      fmt::print(" on trial for {:.1f} s more", configuration.at("trial_left_ms").get<double>() / 1000);
+    fmt::print(", {} changes wait\n", number(configuration, "waiting"));
     fmt::print("files at SIGHUP: {} taken, {} refused; platform's document in force: {}\n",
-               number(c, "taken"), number(c, "refused"), c.at("platform_document").get<std::string>());
-    if (const auto why = c.at("last_refusal").get<std::string>(); !why.empty())
+               number(configuration, "taken"), number(configuration, "refused"),
+               configuration.at("platform_document").get<std::string>());
+    if (const auto why = configuration.at("last_refusal").get<std::string>(); !why.empty())
       fmt::print("last refused: {}\n", why);
     fmt::print(
         "messages: {} held, {} notices owed; {} taken, {} delivered, {} returned, {} failed, {} busy\n",
-        number(m, "open"), number(m, "notices"), number(m, "taken"), number(m, "delivered"),
-        number(m, "returned"), number(m, "given_up"), number(m, "busy"));
+        number(messages, "open"), number(messages, "notices"), number(messages, "taken"),
+        number(messages, "delivered"), number(messages, "returned"), number(messages, "given_up"),
+        number(messages, "busy"));
     for (const auto& [name, figures] : status.at("classes").items()) {
       fmt::print("class {}: {} completed, {} rejected, {} failed\n", name, number(figures, "completed"),
                  number(figures, "rejected"), number(figures, "failed"));
     }
-    if (const auto& w = status.at("watch"); !w.is_null()) {
-      const auto& o = w.at("otherwise");
+    if (const auto& watch = status.at("watch"); !watch.is_null()) {
+      const auto& otherwise = watch.at("otherwise");
       fmt::print(
           "watch: of {} messages the watched settings would have sent {}, sent to another endpoint {}, "
           "refused {}, failed {}, held {}\n",
-          number(w, "messages"), number(o, "sent"), number(o, "other_endpoint"), number(o, "refused"),
-          number(o, "failed"), number(o, "waited"));
+          number(watch, "messages"), number(otherwise, "sent"), number(otherwise, "other_endpoint"),
+          number(otherwise, "refused"), number(otherwise, "failed"), number(otherwise, "waited"));
     }
     fmt::print("clients: {} of {}; connections to endpoints: {} of {}\n", number(status.at("clients"), "now"),
                number(status.at("clients"), "most"), number(status.at("calls"), "connections"),
