--- a/src/base/log_events.h
+++ b/src/base/log_events.h
@@ -167,8 +167,7 @@
     "quiesced",
     kInfo,
     "An operator quiesced the node: PING is answered with an error, clients are disconnected between "
-    "requests, "
-    "held messages are still delivered.",
+    "requests, held messages are still delivered.",
     {{{"open", "messages held"}, {"clients", "client connections"}}}};
 inline constexpr Event<kCount, kCount> kQuiesceEnded{
     "resumed.work",
--- a/src/base/log_events_connections.h
+++ b/src/base/log_events_connections.h
@@ -13,7 +13,7 @@
     kUnsolicitedBytes{
         "connection.unasked",
         kWarn,
-        "Unsolicited bytes arrived, which belong to no call's answer: the endpoint is suspect, and each "
+        "Unsolicited bytes arrived, which belong to no answer to a call: the endpoint is suspect, and each "
         "call there gets a connection of its own.",
         {{{"endpoint", "endpoint from which they came; a proxy in front of it may have sent them"},
           {"connection", "number of the connection since the start"},
--- a/src/base/log_events_delivery.h
+++ b/src/base/log_events_delivery.h
@@ -83,8 +83,7 @@
     "message.rules_unsure",
     kInfo,
     "It is unknown which rules of its class were in force when an enqueued message was written; the "
-    "strictest "
-    "apply.",
+    "strictest apply.",
     {{{"id", "id that the client gave the message"},
       {"class", "class of the message"},
       {"rules", "rules for repeats and order that apply to it"}}}};
--- a/src/faults/cluster.h
+++ b/src/faults/cluster.h
@@ -57,12 +57,14 @@
 
   // The node's name in the fleet.
   static std::string Name(int i) { return "n" + std::to_string(i); }
+  // Starts a node that is not running. Throws std::runtime_error if the program can't be started.
   void Start(int i);
   void StartAll();
   // Ends a node by SIGKILL.
   void Kill(int i);
   // Ends a node by SIGTERM. Returns its exit status as Process::WaitForExit does.
   std::optional<int> Stop(int i);
+  // Stops a node by SIGSTOP, and lets it run on by SIGCONT.
   void Suspend(int i) { processes_.at(i)->Signal(SIGSTOP); }
   void Resume(int i) { processes_.at(i)->Signal(SIGCONT); }
   // Empties the node's state folder, as if its machine and disk were lost.
