--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -32,8 +32,7 @@
     app.footer(
         "Examples:\n  indigosaddle serve --config indigosaddle.toml\n"
         "  indigosaddle config check indigosaddle.toml\n  indigosaddle status --config indigosaddle.toml\n"
-        "ExitStatus status: 0 done, 1 it could not be done, 2 the input is wrong, 3 a check found "
-        "something.");
+        "Exit status: 0 done, 1 it could not be done, 2 the input is wrong, 3 a check found something.");
     // `indigosaddle --config FILE` is short for `indigosaddle serve --config FILE`.
     std::string file;
     app.add_option("--config", file, "The operator's file (TOML); serves with it");
