--- a/src/config/history.cpp
+++ b/src/config/history.cpp
@@ -43,7 +43,7 @@
   first.document = file;
   first.staged_at = now;
   first.result = GenerationResult::kKept;
-  first.result_reason = "a file that is new at the start is kept without a trial";
+  first.result_reason = "a start with another file is taken as it is";
   saved.kept = first.number;
   saved.on_trial = 0;
   saved.seen_file = file_hash;
