--- a/benchmarks/front_door_benchmark.cpp
+++ b/benchmarks/front_door_benchmark.cpp
@@ -1,5 +1,5 @@
-// What a turn with new settings costs the module, by how many messages it holds, beside a turn without; and
-// what a line of the log costs.
+// Benchmarks of a turn with new settings against one without, by the number of pending messages, and of
+// writing one log line.
 #include <benchmark/benchmark.h>
 #include <fcntl.h>
 #include <unistd.h>
@@ -10,7 +10,8 @@
 namespace indigosaddle {
 namespace {
 
-class NoHost : public Host {
+// A host that ignores every effect of the delivery policy.
+class NullHost : public Host {
  public:
   void Send(MessageId, const EndpointId&, Micros) override {}
   void Refuse(MessageId, Micros) override {}
@@ -20,7 +21,7 @@
   void CloseIdle(const EndpointId&) override {}
 };
 
-Settings SomeSettings() {
+Settings FourClassSettings() {
   Settings settings;
   settings.max_open = 100000;
   settings.tick = Micros(5000);
@@ -31,28 +32,29 @@
   return settings;
 }
 
-void Turn(benchmark::State& state, bool changes) {
-  NoHost host;
-  const auto brain = MakeBrain(SomeSettings(), host);
+// Measures one turn while `state.range(0)` messages wait.
+void RunTurns(benchmark::State& state, bool new_settings) {
+  NullHost host;
+  const auto brain = MakeBrain(FourClassSettings(), host);
   Micros now{0};
   brain->OnTurnStart(now);
-  brain->OnList({{"drains", 0, 0, 1, EndpointState::kDraining}}, true);  // so that all wait
+  brain->OnList({{"drains", 0, 0, 1, EndpointState::kDraining}}, true);  // keeps every message waiting
   for (int id = 1; id <= state.range(0); ++id) {
     brain->OnMessage({static_cast<MessageId>(id), id % 4, 0, "", Micros(60000000), 1});
   }
   brain->OnTurnEnd();
-  const Settings settings = SomeSettings();
+  const Settings settings = FourClassSettings();
   for (auto _ : state) {
     now += Micros(1);
     brain->OnTurnStart(now);
-    if (changes) brain->OnSettings(settings);
+    if (new_settings) brain->OnSettings(settings);
     brain->OnTurnEnd();
   }
 }
 
-void TurnWithout(benchmark::State& state) { Turn(state, false); }
-void TurnWithNewSettings(benchmark::State& state) { Turn(state, true); }
-BENCHMARK(TurnWithout)->Arg(0)->Arg(100)->Arg(2000);
+void TurnWithoutNewSettings(benchmark::State& state) { RunTurns(state, false); }
+void TurnWithNewSettings(benchmark::State& state) { RunTurns(state, true); }
+BENCHMARK(TurnWithoutNewSettings)->Arg(0)->Arg(100)->Arg(2000);
 BENCHMARK(TurnWithNewSettings)->Arg(0)->Arg(100)->Arg(2000);
 
 void LogLine(benchmark::State& state) {
@@ -70,11 +72,11 @@
 }
 BENCHMARK(LogLine)->ArgName("json")->Arg(0)->Arg(1);
 
-void LogLineBelowTheLevel(benchmark::State& state) {
+void LogLineBelowLevel(benchmark::State& state) {
   base::Log log("n1");
   for (auto _ : state) log.Write(base::kClientEnded, 1, "left", 2, std::chrono::microseconds(5));
 }
-BENCHMARK(LogLineBelowTheLevel);
+BENCHMARK(LogLineBelowLevel);
 
 }  // namespace
 }  // namespace indigosaddle
--- a/tests/call_pool_odd_answer_test.cpp
+++ b/tests/call_pool_odd_answer_test.cpp
@@ -1,4 +1,4 @@
-// What a call's result says of an answer whose head lacks a part or has an odd one.
+// Results of calls whose answer has a head with missing or malformed parts.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,51 +9,51 @@
 namespace indigosaddle::testing {
 namespace {
 
-class OddAnswer : public CallEndings {
+class MalformedAnswers : public CallPoolFixture {
  protected:
-  net::CallResult To(const std::string& line, const std::string& headers) {
+  net::CallResult ResultOf(const std::string& line, const std::string& headers) {
     Start();
     Socket socket = Accept();
     EXPECT_TRUE(socket.Write("HTTP/1.1 " + line + "\r\n" + headers + "Content-Length: 0\r\n\r\n"));
-    RunToAnEnd();
+    RunUntilResult();
     return results.back();
   }
 };
 
-// A 429 says to wait. Where it does not say how long, it was called again at once.
-TEST_F(OddAnswer, A429AlwaysTellsAWait) {
-  for (const std::string odd :
+// A 429 always asks for a pause. An endpoint that gave no readable duration was called again at once.
+TEST_F(MalformedAnswers, A429AlwaysHasARetryAfter) {
+  for (const std::string malformed :
        {"", "X-Retry-In-Ms:\r\n", "X-Retry-In-Ms: soon\r\n", "X-Retry-In-Ms: -1\r\n", "X-Retry-In: 5\r\n"}) {
-    const net::CallResult result = To("429 Full", odd);
-    EXPECT_EQ(result.attempt_result, AttemptResult::kTooManyRequests) << odd;
-    EXPECT_EQ(result.wait, net::kUnreadableRetryAfter) << odd;
+    const net::CallResult result = ResultOf("429 Full", malformed);
+    EXPECT_EQ(result.attempt_result, AttemptResult::kTooManyRequests) << malformed;
+    EXPECT_EQ(result.wait, net::kUnreadableRetryAfter) << malformed;
   }
-  EXPECT_EQ(To("429 Full", "X-Retry-In-Ms: 0\r\n").wait, Micros(0));
-  EXPECT_EQ(To("429 Full", "X-Retry-In-Ms: 5000\r\nX-Retry-In-Ms: 0\r\n").wait, seconds(5));
+  EXPECT_EQ(ResultOf("429 Full", "X-Retry-In-Ms: 0\r\n").wait, Micros(0));
+  EXPECT_EQ(ResultOf("429 Full", "X-Retry-In-Ms: 5000\r\nX-Retry-In-Ms: 0\r\n").wait, seconds(5));
 }
 
-// A 503 tells a wait only where it has one.
-TEST_F(OddAnswer, A503TellsTheWaitThatItHas) {
-  EXPECT_EQ(To("503 Full", "").wait, Micros(0));
-  EXPECT_EQ(To("503 Full", "X-Retry-In-Ms: 250\r\n").wait, milliseconds(250));
-  EXPECT_EQ(To("503 Full", "X-Retry-In-Ms: soon\r\n").wait, net::kUnreadableRetryAfter);
-  EXPECT_EQ(To("503 Full", "X-Retry-In-Ms:\r\n").wait, net::kUnreadableRetryAfter);
+// A 503 asks for a pause only if it has a Retry-After header.
+TEST_F(MalformedAnswers, A503HasARetryAfterOnlyIfTheHeaderIsPresent) {
+  EXPECT_EQ(ResultOf("503 Full", "").wait, Micros(0));
+  EXPECT_EQ(ResultOf("503 Full", "X-Retry-In-Ms: 250\r\n").wait, milliseconds(250));
+  EXPECT_EQ(ResultOf("503 Full", "X-Retry-In-Ms: soon\r\n").wait, net::kUnreadableRetryAfter);
+  EXPECT_EQ(ResultOf("503 Full", "X-Retry-In-Ms:\r\n").wait, net::kUnreadableRetryAfter);
 }
 
-// Only the mark itself says that a call was not sent for want of a slot; else the endpoint turned it away.
-TEST_F(OddAnswer, AnOddNoSlotMarkIsNone) {
-  EXPECT_EQ(To("503 Full", "X-No-Slot: 1\r\n").attempt_result, AttemptResult::kNoSlot);
-  for (const std::string odd : {"X-No-Slot: 0\r\n", "X-No-Slot:\r\n", "X-No-Slot: yes\r\n",
-                                "X-No-Slot: 11\r\n", "X-No-Slot: 0\r\nX-No-Slot: 1\r\n"})
-    EXPECT_EQ(To("503 Full", odd).attempt_result, AttemptResult::kUnavailable) << odd;
+// Only the exact header value says that no slot was free; with any other the endpoint rejected the call.
+TEST_F(MalformedAnswers, AMalformedNoSlotHeaderIsIgnored) {
+  EXPECT_EQ(ResultOf("503 Full", "X-No-Slot: 1\r\n").attempt_result, AttemptResult::kNoSlot);
+  for (const std::string malformed : {"X-No-Slot: 0\r\n", "X-No-Slot:\r\n", "X-No-Slot: yes\r\n",
+                                      "X-No-Slot: 11\r\n", "X-No-Slot: 0\r\nX-No-Slot: 1\r\n"})
+    EXPECT_EQ(ResultOf("503 Full", malformed).attempt_result, AttemptResult::kUnavailable) << malformed;
 }
 
-// Taken for a 200, a message whose call may have failed was over.
-TEST_F(OddAnswer, AStatusThatIsNotThreeDigitsMayHaveRun) {
-  for (const std::string odd : {"0200 OK", "00200 OK", "20 0", "2", "2000"}) {
-    const AttemptResult ending = To(odd, "").attempt_result;
-    EXPECT_NE(ending, AttemptResult::kDelivered) << odd;
-    EXPECT_TRUE(state::MayHaveRun(state::MeaningOf(ending).result)) << odd;
+// Read as a 200, such a status completed a message whose call may have failed.
+TEST_F(MalformedAnswers, AStatusThatIsNotThreeDigitsMayHaveRun) {
+  for (const std::string malformed : {"0200 OK", "00200 OK", "20 0", "2", "2000"}) {
+    const AttemptResult result = ResultOf(malformed, "").attempt_result;
+    EXPECT_NE(result, AttemptResult::kDelivered) << malformed;
+    EXPECT_TRUE(state::MayHaveRun(state::MeaningOf(result).result)) << malformed;
   }
 }
 
--- a/tests/call_pool_unread_test.cpp
+++ b/tests/call_pool_unread_test.cpp
@@ -1,8 +1,8 @@
-// Calls to an endpoint that does not read: bytes wait in this machine for as long as it likes.
+// Calls to an endpoint that does not read, so that bytes stay in this machine's send buffer.
 //
-// What may not be sent later must not leave later: a repeat behind its key's life, or any call that is over.
-// Closed in order, the system would send the rest once the endpoint reads again, and the call would run
-// behind its end.
+// A repeat after its idempotency key has expired must not be sent, nor any call that has its result already.
+// After an orderly close the system would still send the rest once the endpoint reads again, and the call
+// would run after its result was reported.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -19,12 +19,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class UnreadCall : public ::testing::Test {
+class UnreadRequest : public ::testing::Test {
  protected:
-  static constexpr std::size_t kBody = 8000;  // fits this side's buffer, and not the endpoint's
-  static constexpr int kReceiveBuffer = 1;    // bytes asked for: the system gives its least
+  static constexpr std::size_t kBodyBytes =
+      8000;  // fits into the node's send buffer but not into the endpoint's receive buffer
+  static constexpr int kReceiveBufferBytes = 1;  // the system raises it to its minimum
 
-  UnreadCall()
+  UnreadRequest()
       : listener(Socket::Listen(port)),
         pool(
             loop, {seconds(30), seconds(60), 16},
@@ -33,47 +34,49 @@
                   last_byte_within == Micros::max() ? Micros::max() : loop.Now() + last_byte_within);
             },
             [this](const net::CallResult& result) {
-              ended = result.attempt_result;
+              attempt_result = result.attempt_result;
               loop.Stop();
             }) {
-    setsockopt(listener.get(), SOL_SOCKET, SO_RCVBUF, &kReceiveBuffer, sizeof kReceiveBuffer);
+    setsockopt(listener.get(), SOL_SOCKET, SO_RCVBUF, &kReceiveBufferBytes, sizeof kReceiveBufferBytes);
   }
 
-  // One call; the endpoint reads nothing until it is over, then all that comes.
-  void Play(Micros timeout) {
-    pool.Start({1, "127.0.0.1:" + std::to_string(port), "s-1", "m", "k", std::string(kBody, 'b'), timeout});
-    const auto began = Clock::now();
+  // Runs one call. The endpoint reads nothing until the call has its result, then everything that arrives.
+  void RunCall(Micros timeout) {
+    pool.Start(
+        {1, "127.0.0.1:" + std::to_string(port), "s-1", "m", "k", std::string(kBodyBytes, 'b'), timeout});
+    const auto started_at = Clock::now();
     loop.Run();
-    took = Clock::now() - began;
+    call_duration = Clock::now() - started_at;
     uv_run(loop.raw(), UV_RUN_NOWAIT);
     const Socket socket(accept(listener.get(), nullptr, nullptr));
     for (std::string more = socket.Read(seconds(5)); !more.empty(); more = socket.Read(seconds(5)))
-      came += more.size();
+      received_bytes += more.size();
   }
 
   net::Loop loop;
   int port = 0;
   Socket listener;
   Micros last_byte_within = Micros::max();
-  std::optional<AttemptResult> ended;
-  std::size_t came = 0;
-  Clock::duration took{};
+  std::optional<AttemptResult> attempt_result;
+  std::size_t received_bytes = 0;
+  Clock::duration call_duration{};
   net::CallPool pool;
 };
 
-TEST_F(UnreadCall, ItsLastByteDoesNotLeaveBehindItsTimeOut) {
-  Play(milliseconds(200));
-  EXPECT_EQ(ended, AttemptResult::kTimedOut);
-  EXPECT_GT(came, 0u);
-  EXPECT_LT(came, kBody);
+TEST_F(UnreadRequest, LastByteIsNotSentAfterTheTimeout) {
+  RunCall(milliseconds(200));
+  EXPECT_EQ(attempt_result, AttemptResult::kTimedOut);
+  EXPECT_GT(received_bytes, 0u);
+  EXPECT_LT(received_bytes, kBodyBytes);
 }
 
-TEST_F(UnreadCall, ItsLastByteDoesNotLeaveBehindTheInstantThatBindsIt) {
+TEST_F(UnreadRequest, LastByteIsNotSentAfterItsOwnDeadline) {
   last_byte_within = milliseconds(150);
-  Play(seconds(20));
-  EXPECT_EQ(ended, AttemptResult::kBrokenAfterSent);  // all handed over: it may have run
-  EXPECT_LT(took, seconds(5));
-  EXPECT_LT(came, kBody);
+  RunCall(seconds(20));
+  EXPECT_EQ(attempt_result,
+            AttemptResult::kBrokenAfterSent);  // all bytes were given to the system: the call may have run
+  EXPECT_LT(call_duration, seconds(5));
+  EXPECT_LT(received_bytes, kBodyBytes);
 }
 
 }  // namespace
