--- a/tests/call_pool_copies_test.cpp
+++ b/tests/call_pool_duplicate_answer_test.cpp
@@ -2,7 +2,7 @@
 // thread.
 #include <gtest/gtest.h>
 
-#include "call_endings.h"
+#include "call_pool_fixture.h"
 
 namespace indigosaddle::testing {
 namespace {
--- a/tests/call_pool_odd_answer_test.cpp
+++ b/tests/call_pool_malformed_answer_test.cpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "call_endings.h"
+#include "call_pool_fixture.h"
 #include "net/call_format.h"
 
 namespace indigosaddle::testing {
--- a/tests/call_pool_endings_test.cpp
+++ b/tests/call_pool_results_test.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "call_endings.h"
+#include "call_pool_fixture.h"
 #include "net/call_pool.h"
 #include "sockets.h"
 
--- a/tests/call_pool_test.cpp
+++ b/tests/call_pool_test.cpp
@@ -77,7 +77,7 @@
   EXPECT_EQ(pool.opened(), 2u);
 }
 
-// A duplicate right after a good answer would be received_request for the next call's answer.
+// A duplicate right after a good answer would be taken for the next call's answer.
 TEST_F(CallPoolTest, AConnectionWithUnreadDataIsNotReused) {
   Start("s-1");
   Socket socket = Accept();
@@ -132,7 +132,7 @@
   ASSERT_TRUE(socket.Write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"));
   RunUntilResult();
   EXPECT_EQ(pool.connections(), 1u);
-  const auto end = Clock::now() + kPatience;
+  const auto end = Clock::now() + kWaitLimit;
   while (pool.connections() > 0 && Clock::now() < end) uv_run(loop.raw(), UV_RUN_ONCE);
   EXPECT_EQ(pool.connections(), 0u);
 }
--- a/tests/call_pool_unread_test.cpp
+++ b/tests/call_pool_unread_request_test.cpp
@@ -21,8 +21,8 @@
 
 class UnreadRequest : public ::testing::Test {
  protected:
-  static constexpr std::size_t kBodyBytes =
-      8000;  // fits into the node's send buffer but not into the endpoint's receive buffer
+  // Fits into the node's send buffer but not into the endpoint's receive buffer.
+  static constexpr std::size_t kBodyBytes = 8000;
   static constexpr int kReceiveBufferBytes = 1;  // the system raises it to its minimum
 
   UnreadRequest()
@@ -73,8 +73,8 @@
 TEST_F(UnreadRequest, LastByteIsNotSentAfterItsOwnDeadline) {
   last_byte_within = milliseconds(150);
   RunCall(seconds(20));
-  EXPECT_EQ(attempt_result,
-            AttemptResult::kBrokenAfterSent);  // all bytes were given to the system: the call may have run
+  // All bytes were given to the system: the call may have run.
+  EXPECT_EQ(attempt_result, AttemptResult::kBrokenAfterSent);
   EXPECT_LT(call_duration, seconds(5));
   EXPECT_LT(received_bytes, kBodyBytes);
 }
--- a/tests/client_stand_in.h
+++ b/tests/client_stand_in.h
@@ -1,4 +1,4 @@
-// A client of the node, on loopback.
+// A client of the node that speaks RESP over loopback.
 #pragma once
 
 #include <string>
@@ -9,22 +9,25 @@
 
 namespace indigosaddle::testing {
 
-// A client's connection to the node.
+// One client connection to the node, with blocking reads that wait at most kWaitLimit.
 class ClientStandIn {
  public:
   explicit ClientStandIn(int port) : socket_(Socket::Connect(port)) {}
 
+  // Encodes a command as a RESP array of bulk strings.
   static std::string Command(const std::vector<std::string>& parts) {
     std::string out = "*" + std::to_string(parts.size()) + "\r\n";
     for (const std::string& part : parts) out += "$" + std::to_string(part.size()) + "\r\n" + part + "\r\n";
     return out;
   }
-  static std::string Enqueue(const std::string& id, const std::string& names,
+  // Encodes an ENQUEUE command without an order key; `fields` holds the "name=value" fields.
+  static std::string Enqueue(const std::string& id, const std::string& fields,
                              const std::string& body = "body") {
-    return Command({"ENQUEUE", "0000000000000000", id, names, body});
+    return Command({"ENQUEUE", "0000000000000000", id, fields, body});
   }
 
   bool Write(std::string_view bytes) { return socket_.Write(bytes); }
+  // The next reply line without its CRLF; empty if the connection ends or the wait limit is reached.
   std::string ReadLine() {
     std::size_t end = 0;
     while ((end = bytes_.find("\r\n")) == std::string::npos) {
@@ -36,6 +39,7 @@
     bytes_.erase(0, end + 2);
     return line;
   }
+  // Writes a command and returns its reply line; empty on failure.
   std::string Ask(std::string_view bytes) { return Write(bytes) ? ReadLine() : ""; }
   Socket& socket() { return socket_; }
 
--- a/tests/http_stand_ins.h
+++ b/tests/http_stand_ins.h
@@ -1,4 +1,4 @@
-// An HTTP server on loopback, and an endpoint made of it.
+// An HTTP server on loopback, and an endpoint stand-in built on it.
 #pragma once
 
 #include <fcntl.h>
@@ -33,13 +33,14 @@
 
 namespace indigosaddle::testing {
 
+// A request as the server read it; `line` is its request line.
 struct HttpRequest {
   std::string line, body;
   std::map<std::string, std::string> headers;  // names in lower case
 };
 
-// An HTTP server with a thread for each connection. The handler gets the socket and may do anything with it;
-// it returns false to end the connection.
+// An HTTP server with one thread per connection. The handler may use the socket in any way; it returns false
+// to close the connection.
 class HttpServer {
  public:
   using Handler = std::function<bool(Socket&, const HttpRequest&)>;
@@ -53,7 +54,8 @@
         const std::lock_guard lock(mutex_);
         const int descriptor = socket.get();
         descriptors_.push_back(descriptor);
-        threads_.emplace_back([this, held = std::move(socket)]() mutable { Serve(std::move(held)); });
+        threads_.emplace_back(
+            [this, connection = std::move(socket)]() mutable { Serve(std::move(connection)); });
       }
     });
   }
@@ -63,6 +65,7 @@
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   bool stopped() const { return stopped_; }
 
+  // Shuts all connections down and joins all threads. Later calls do nothing.
   void Stop() {
     if (stopped_.exchange(true)) return;
     shutdown(listener_.get(), SHUT_RDWR);
@@ -75,7 +78,7 @@
     listener_.Close();
   }
 
-  std::atomic<int> accepted{0};
+  std::atomic<int> accepted{0};  // number of accepted connections
 
  private:
   void Serve(Socket socket) {
@@ -114,7 +117,7 @@
       bytes.erase(0, size);
       if (!handler_(socket, request)) break;
     }
-    // The descriptor must not be shut down by number once it is closed.
+    // Removed before it is closed, so that Stop cannot shut down a reused descriptor number.
     const std::lock_guard lock(mutex_);
     std::erase(descriptors_, descriptor);
     socket.Close();
@@ -130,7 +133,8 @@
   std::thread acceptor_;
 };
 
-// An endpoint: notes every call, and answers the n-th as `react` says. By default it delivers.
+// An endpoint that records every call and answers it with `react`, which gets the number of the call from 1.
+// By default it answers 200.
 class EndpointStandIn {
  public:
   using React = std::function<bool(Socket&, const HttpRequest&, int)>;
@@ -151,6 +155,7 @@
     const std::lock_guard lock(mutex_);
     return calls_;
   }
+  // The number of calls for the message `id`.
   int CallsFor(const std::string& id) {
     const auto all = calls();
     return static_cast<int>(std::count_if(all.begin(), all.end(), [&](const HttpRequest& r) {
@@ -168,7 +173,7 @@
   HttpServer server_;
 };
 
-// Holds a connection open, saying nothing, until the other side or the stand-in ends it.
+// Holds a connection open without answering until the other side or the stand-in ends it.
 inline bool Hang(Socket& socket) {
   while (!socket.Read().empty()) {
   }
--- a/tests/platform_stand_in.h
+++ b/tests/platform_stand_in.h
@@ -33,7 +33,7 @@
 
 namespace indigosaddle::testing {
 
-// Discovery and the platform's notices at one address.
+// Discovery and the receiver of notices at one address.
 class PlatformStandIn {
  public:
   PlatformStandIn()
@@ -50,6 +50,7 @@
     return {{"host", host},   {"dial", dial},     {"site", "z"},  {"class", "m"},
             {"block", block}, {"health", health}, {"share", 1.0}, {"born_ms", 0}};
   }
+  // Adds a member or replaces the one of the same host, and sends the change to all watches.
   void Set(const nlohmann::json& member) {
     const std::lock_guard lock(mutex_);
     ++version_;
@@ -63,38 +64,44 @@
     changes_.emplace_back(version_, member);
     changed_.notify_all();
   }
+  // While down, requests to discovery are not answered and watches get no more lines.
   void Down(bool down) {
     const std::lock_guard lock(mutex_);
     down_ = down;
     changed_.notify_all();
   }
+  // Closes all open watches.
   void EndWatches() {
     const std::lock_guard lock(mutex_);
     ++generation_;
     changed_.notify_all();
   }
-  void RefuseLists(int status) { list_status_ = status; }  // 200: no more
+  // Answers requests to discovery with `status` from now on; 200 serves them normally.
+  void SetListStatus(int status) { list_status_ = status; }
   int refused_lists() const { return refused_lists_; }
-  void RefuseNotices(int status) { notice_status_ = status; }
-  // Instead of the plain 204: says what it says on the connection; false ends the connection.
-  void AnswerNotices(std::function<bool(Socket&)> answer) { answer_notices_ = std::move(answer); }
-  // Whether the n-th post is read at all; else its connection ends unread.
-  void ReadNotices(std::function<bool(int)> reads) { reads_notices_ = std::move(reads); }
-  // What else is said on a watch's connection behind a line.
-  void BehindLines(std::function<void(Socket&, const std::string& chunk)> says) {
+  // Answers notices with `status` from now on; 204 accepts them normally.
+  void SetNoticeStatus(int status) { notice_status_ = status; }
+  // Called for each accepted post of notices to write an answer instead of the plain 204; returning false
+  // closes the connection.
+  void AnswerNoticesWith(std::function<bool(Socket&)> answer) { notice_answer_ = std::move(answer); }
+  // Called with the number of each post from 1. Returning false closes its connection without recording it.
+  void ReadNoticesIf(std::function<bool(int)> should_read) { should_read_notices_ = std::move(should_read); }
+  // Called after each line of changes that is written on a watch, to write more on its connection.
+  void AfterWatchLines(std::function<void(Socket&, const std::string& chunk)> write) {
     const std::lock_guard lock(mutex_);
-    behind_lines_ = std::move(says);
+    after_watch_lines_ = std::move(write);
   }
-  void IgnoreNotices(int posts) { ignored_notices_ = posts; }  // the next ones are read and never answered
+  // The next `posts` posts of notices are read but neither recorded nor answered.
+  void IgnoreNotices(int posts) { ignored_notices_ = posts; }
   std::map<std::string, std::vector<nlohmann::json>> notices() {
     const std::lock_guard lock(mutex_);
     return notices_;
   }
-  // When a message's first notice came; nothing: none did.
-  std::optional<Clock::time_point> ToldAt(const std::string& id) {
+  // When the first notice of a message was received; empty if none was.
+  std::optional<Clock::time_point> FirstNoticeAt(const std::string& id) {
     const std::lock_guard lock(mutex_);
-    const auto it = told_at_.find(id);
-    return it == told_at_.end() ? std::nullopt : std::optional(it->second);
+    const auto it = first_notice_at_.find(id);
+    return it == first_notice_at_.end() ? std::nullopt : std::optional(it->second);
   }
   int watches() const { return watches_; }
   int whole_lists() const { return whole_lists_; }
@@ -111,24 +118,24 @@
     return out.str();
   }
 
-  void TakeNotices(const std::string& body) {
+  void RecordNotices(const std::string& body) {
     std::istringstream lines(body);
     const std::lock_guard lock(mutex_);
     for (std::string line; std::getline(lines, line);) {
       const auto notice = nlohmann::json::parse(line);
       notices_[notice["id"]].push_back(notice);
-      told_at_.try_emplace(notice["id"], Clock::now());
+      first_notice_at_.try_emplace(notice["id"], Clock::now());
     }
   }
 
   bool Serve(Socket& socket, const HttpRequest& request) {
     if (request.line.starts_with("POST /v1/notices ")) {
       const int post = ++notice_posts_;
-      if (reads_notices_ && !reads_notices_(post)) return false;
+      if (should_read_notices_ && !should_read_notices_(post)) return false;
       if (ignored_notices_ > 0) return --ignored_notices_, true;
       if (notice_status_ != 204) return socket.Write(Answer(notice_status_));
-      TakeNotices(request.body);
-      return answer_notices_ ? answer_notices_(socket) : socket.Write("HTTP/1.1 204 No Content\r\n\r\n");
+      RecordNotices(request.body);
+      return notice_answer_ ? notice_answer_(socket) : socket.Write("HTTP/1.1 204 No Content\r\n\r\n");
     }
     if (list_status_ != 200) {
       ++refused_lists_;
@@ -144,21 +151,21 @@
                           body);
     }
     ++watches_;
-    std::uint64_t seen = std::stoull(request.line.substr(from + 5));
+    std::uint64_t sent_version = std::stoull(request.line.substr(from + 5));
     const int generation = generation_;
     if (!socket.Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")) return false;
     bool first = true;
     while (!closing_ && generation == generation_) {
-      nlohmann::json news = nlohmann::json::array();
+      nlohmann::json new_changes = nlohmann::json::array();
       for (const auto& [version, member] : changes_) {
-        if (version > seen) news.push_back(member);
+        if (version > sent_version) new_changes.push_back(member);
       }
-      if (!down_ && (first || !news.empty())) {
-        seen = version_;
+      if (!down_ && (first || !new_changes.empty())) {
+        sent_version = version_;
         first = false;
-        const std::string chunk = Chunk(Lines(false, version_, news));
+        const std::string chunk = Chunk(Lines(false, version_, new_changes));
         if (!socket.Write(chunk)) return false;
-        if (behind_lines_) behind_lines_(socket, chunk);
+        if (after_watch_lines_) after_watch_lines_(socket, chunk);
       } else if (!down_ && !socket.Write(Chunk("\n"))) {
         return false;
       }
@@ -173,10 +180,10 @@
   nlohmann::json members_ = nlohmann::json::array();
   std::vector<std::pair<std::uint64_t, nlohmann::json>> changes_;
   std::map<std::string, std::vector<nlohmann::json>> notices_;
-  std::map<std::string, Clock::time_point> told_at_;
-  std::function<bool(Socket&)> answer_notices_;
-  std::function<bool(int)> reads_notices_;
-  std::function<void(Socket&, const std::string&)> behind_lines_;
+  std::map<std::string, Clock::time_point> first_notice_at_;
+  std::function<bool(Socket&)> notice_answer_;
+  std::function<bool(int)> should_read_notices_;
+  std::function<void(Socket&, const std::string&)> after_watch_lines_;
   bool down_ = false;
   int generation_ = 0;
   std::atomic<bool> closing_{false};
--- a/tests/sockets.h
+++ b/tests/sockets.h
@@ -1,4 +1,4 @@
-// A bare socket on loopback, with a port from the kernel, and the one generous limit on every wait.
+// Plain blocking sockets on loopback with ports chosen by the kernel, and the common limit of all waits.
 #pragma once
 
 #include <arpa/inet.h>
@@ -19,10 +19,12 @@
 namespace indigosaddle::testing {
 
 using Clock = std::chrono::steady_clock;
-constexpr auto kPatience = std::chrono::seconds(60);
+// Generous limit of every wait for a condition, so that a busy machine fails no test.
+constexpr auto kWaitLimit = std::chrono::seconds(60);
 
+// Polls `holds` every 5 ms until it returns true; returns false after kWaitLimit.
 inline bool Eventually(const std::function<bool()>& holds) {
-  const auto end = Clock::now() + kPatience;
+  const auto end = Clock::now() + kWaitLimit;
   while (!holds()) {
     if (Clock::now() > end) return false;
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -30,6 +32,8 @@
   return true;
 }
 
+// Owns a TCP socket descriptor; -1 when closed. If they fail, Connect returns a closed socket
+// and Listen aborts.
 class Socket {
  public:
   explicit Socket(int descriptor = -1) : descriptor_(descriptor) {}
@@ -43,14 +47,15 @@
 
   static Socket Listen(int& port) {
     Socket socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    socklen_t size = sizeof at;
-    if (bind(socket.get(), reinterpret_cast<sockaddr*>(&at), size) != 0 || listen(socket.get(), 128) != 0)
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    socklen_t size = sizeof address;
+    if (bind(socket.get(), reinterpret_cast<sockaddr*>(&address), size) != 0 ||
+        listen(socket.get(), 128) != 0)
       abort();
-    getsockname(socket.get(), reinterpret_cast<sockaddr*>(&at), &size);
-    port = ntohs(at.sin_port);
+    getsockname(socket.get(), reinterpret_cast<sockaddr*>(&address), &size);
+    port = ntohs(address.sin_port);
     return socket;
   }
   static Socket Connect(int port) {
@@ -68,7 +73,7 @@
   void Close() {
     if (descriptor_ >= 0) close(std::exchange(descriptor_, -1));
   }
-  void Reset() {  // ends it with a reset instead of an orderly close
+  void Reset() {  // closes with a TCP reset instead of an orderly close
     const linger hard{1, 0};
     setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
     Close();
@@ -81,10 +86,10 @@
     }
     return true;
   }
-  // More bytes, or nothing at the end of the connection or of the patience.
-  std::string Read(std::chrono::milliseconds patience = kPatience) const {
+  // The next bytes; empty at the end of the connection, on an error or after the timeout.
+  std::string Read(std::chrono::milliseconds timeout = kWaitLimit) const {
     pollfd wait{descriptor_, POLLIN, 0};
-    if (poll(&wait, 1, static_cast<int>(patience.count())) <= 0) return {};
+    if (poll(&wait, 1, static_cast<int>(timeout.count())) <= 0) return {};
     std::string bytes(65536, '\0');
     const ssize_t count = recv(descriptor_, bytes.data(), bytes.size(), 0);
     bytes.resize(count > 0 ? static_cast<std::size_t>(count) : 0);
@@ -95,6 +100,7 @@
   int descriptor_;
 };
 
+// An HTTP response without a body; `headers` are whole lines, each with its CRLF.
 inline std::string Answer(int status, const std::string& headers = "") {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + headers + "Content-Length: 0\r\n\r\n";
 }
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -1,5 +1,5 @@
-// Stand-ins for the world round a delivery node, and the node itself as a process. Loopback only; ports are
-// given by the kernel; whoever waits, waits for a condition under one generous limit.
+// Stand-ins for the systems around a delivery node, and the node itself as a process. They use loopback only,
+// with ports chosen by the kernel, and every wait is for a condition with one generous limit (kWaitLimit).
 #pragma once
 
 #include <fcntl.h>
@@ -36,7 +36,7 @@
 
 namespace indigosaddle::testing {
 
-// The built program. Its state folder outlives its processes.
+// The built program as a child process. Its state folder is kept over restarts and removed with this object.
 class NodeProcess {
  public:
   explicit NodeProcess(std::string discovery) {
@@ -87,7 +87,7 @@
     std::filesystem::remove_all(folder);
   }
 
-  void WriteConfig(const std::string& text) const {  // in one step, as operators replace it
+  void WriteConfig(const std::string& text) const {  // replaced by a rename, as operators do
     std::ofstream(folder + "/config.new") << text;
     std::filesystem::rename(folder + "/config.new", folder + "/config.json");
   }
@@ -97,38 +97,39 @@
     std::filesystem::rename(folder + "/node.toml.new", folder + "/node.toml");
   }
 
-  // One of the program's commands at this node: its exit status and what it printed on both outputs.
-  std::pair<int, std::string> Command(const std::string& words) const {
+  // Runs one of the program's commands for this node; returns its exit status and its combined output.
+  std::pair<int, std::string> Command(const std::string& command_line) const {
     const std::string line =
-        "EDGE_STATE=" + folder + "/state " + INDIGOSADDLE_PROGRAM + " " + words + " 2>&1";
+        "EDGE_STATE=" + folder + "/state " + INDIGOSADDLE_PROGRAM + " " + command_line + " 2>&1";
     FILE* out = popen(line.c_str(), "r");
     std::string text(65536, '\0');
     text.resize(fread(text.data(), 1, text.size(), out));
     return {WEXITSTATUS(pclose(out)), text};
   }
 
-  // Starts it and waits until it serves. False where it ended instead.
-  bool Start(rlim_t descriptors = 0, int signal_at_once = 0) {
+  // Starts the node and waits until it serves; returns false if it ended instead. Above 0, `descriptors` limits
+  // its open files, and `pending_signal` is pending when the program starts.
+  bool Start(rlim_t descriptors = 0, int pending_signal = 0) {
     WriteConfig(raw_config ? *raw_config : config.dump());
     if (!toml.empty()) WriteToml(toml);
-    const std::string log_path = folder + "/log" + std::to_string(++lives_);
+    const std::string log_path = folder + "/log" + std::to_string(++starts_);
     const std::string state = shared_state.empty() ? folder + "/state" : shared_state;
-    // All that allocates comes before the fork: the stand-ins' threads go on, and the child may take no lock
-    // that one of them could hold.
-    std::vector<std::string> words{INDIGOSADDLE_PROGRAM}, variables{"EDGE_STATE=" + state};
+    // Everything that allocates comes before the fork: the child must not take a lock that one of the
+    // stand-ins' threads may hold.
+    std::vector<std::string> program_arguments{INDIGOSADDLE_PROGRAM}, variables{"EDGE_STATE=" + state};
     if (toml.empty()) {
       variables.push_back("EDGE_CONFIG=" + folder + "/config.json");
-    } else {  // the operator's file alone
-      for (const char* word : {"serve", "--config"}) words.emplace_back(word);
-      words.push_back(folder + "/node.toml");
-      words.emplace_back("--kill-at");
-      words.push_back(kill_at.empty() ? "none" : kill_at);
+    } else {  // configured by the operator's file alone
+      for (const char* option : {"serve", "--config"}) program_arguments.emplace_back(option);
+      program_arguments.push_back(folder + "/node.toml");
+      program_arguments.emplace_back("--kill-at");
+      program_arguments.push_back(kill_at.empty() ? "none" : kill_at);
     }
     variables.insert(variables.end(), extra_variables.begin(), extra_variables.end());
     for (char** variable = environ; *variable != nullptr; ++variable) {
-      const std::string_view told = *variable;
-      if (!told.starts_with("EDGE_STATE=") && (!toml.empty() || !told.starts_with("EDGE_CONFIG=")))
-        variables.emplace_back(told);
+      const std::string_view entry = *variable;
+      if (!entry.starts_with("EDGE_STATE=") && (!toml.empty() || !entry.starts_with("EDGE_CONFIG=")))
+        variables.emplace_back(entry);
     }
     const auto pointers = [](std::vector<std::string>& from) {
       std::vector<char*> to;
@@ -136,7 +137,7 @@
       to.push_back(nullptr);
       return to;
     };
-    const std::vector<char*> arguments = pointers(words), environment = pointers(variables);
+    const std::vector<char*> arguments = pointers(program_arguments), environment = pointers(variables);
     process_ = fork();
     if (process_ == 0) {
       const int log_file = open(log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
@@ -146,12 +147,12 @@
         const rlimit limit{descriptors, descriptors};
         setrlimit(RLIMIT_NOFILE, &limit);
       }
-      if (signal_at_once > 0) {  // pending when the program begins, until it says that it hears
+      if (pending_signal > 0) {  // stays pending until the program unblocks it
         sigset_t set;
         sigemptyset(&set);
-        sigaddset(&set, signal_at_once);
+        sigaddset(&set, pending_signal);
         sigprocmask(SIG_BLOCK, &set, nullptr);
-        raise(signal_at_once);
+        raise(pending_signal);
       }
       execve(INDIGOSADDLE_PROGRAM, arguments.data(), environment.data());
       _exit(127);
@@ -168,13 +169,13 @@
   }
 
   void Signal(int number) const {
-    if (process_ > 0) kill(process_, number);  // 0 would be this test and all that it started
+    if (process_ > 0) kill(process_, number);  // kill(0) would signal this test's whole process group
   }
   void Kill(int number) {
     Signal(number);
     Wait();
   }
-  // The exit status; negative: the signal that ended it.
+  // Waits for the process to end. Returns its exit status, or the negated signal that ended it.
   int Wait() {
     Eventually([&] { return Ended(); });
     return status_;
@@ -187,25 +188,25 @@
     status_ = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
     return true;
   }
-  std::string log() const { return LogOf(lives_); }
-  std::string logs() const {  // of all its processes so far
+  std::string log() const { return LogOf(starts_); }
+  std::string logs() const {  // of all processes started so far
     std::string all;
-    for (int life = 1; life <= lives_; ++life) all += LogOf(life);
+    for (int start = 1; start <= starts_; ++start) all += LogOf(start);
     return all;
   }
 
   nlohmann::json config;
   std::vector<std::string> extra_variables;  // "NAME=value", for its environment
-  std::optional<std::string> raw_config;     // the file's text instead, where given
-  std::string toml, kill_at;                 // where toml is given it is the configuration, and config is not
-  int log_descriptor = -1;                   // where standard error goes instead, if not negative
+  std::optional<std::string> raw_config;     // text of the file instead of `config`, if set
+  std::string toml, kill_at;                 // if toml is set, it replaces `config`
+  int log_descriptor = -1;  // receives standard error instead of the log file, if not negative
   std::string folder;
-  std::string shared_state;  // another process's state folder, where not empty
+  std::string shared_state;  // another process's state folder, if not empty
   int port = 0;
 
  private:
-  std::string LogOf(int life) const {
-    std::ifstream file(folder + "/log" + std::to_string(life));
+  std::string LogOf(int start) const {
+    std::ifstream file(folder + "/log" + std::to_string(start));
     return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
   }
   static nlohmann::json Class(const char* name, const char* effect) {
@@ -214,31 +215,32 @@
   }
 
   pid_t process_ = 0;
-  int status_ = 0, lives_ = 0;
+  int status_ = 0, starts_ = 0;
 };
 
-// The world of one test.
+// A fixture with a node, the platform and one endpoint (`settler`) that tests use to wait for effects.
 class NodeTest : public ::testing::Test {
  protected:
   NodeTest() : node(platform.address()) {}
 
-  std::string Enqueue(const std::string& id, const std::string& names, const std::string& body = "body") {
-    return ClientStandIn(node.port).Ask(ClientStandIn::Enqueue(id, names, body));
+  std::string Enqueue(const std::string& id, const std::string& fields, const std::string& body = "body") {
+    return ClientStandIn(node.port).Ask(ClientStandIn::Enqueue(id, fields, body));
   }
-  // Once the list that names its destination is told.
-  bool EnqueueOnceListed(const std::string& id, const std::string& names) {
-    return Eventually([&] { return Enqueue(id, names) == "+OK"; });
+  // Retries until the node has a list with the destination and accepts the message.
+  bool EnqueueOnceListed(const std::string& id, const std::string& fields) {
+    return Eventually([&] { return Enqueue(id, fields) == "+OK"; });
   }
   bool HasNotice(const std::string& id, const std::string& state) {
     const auto notices = platform.notices();
     const auto it = notices.find(id);
     return it != notices.end() && it->second.front()["state"] == state;
   }
-  // All that has an effect has shown by the time that a later message is through.
+  // Waits until a new message has been delivered, by when everything started before it has taken effect.
   void Settle(const std::string& id = "settle") {
     ASSERT_TRUE(EnqueueOnceListed(id, "c=safe,d=60000,dest=99"));
     ASSERT_TRUE(Eventually([&] { return settler.CallsFor(id) == 1; }));
   }
+  // Adds the endpoint that Settle uses to the list, at destination 99.
   void ListSettler() { platform.Set(PlatformStandIn::Member("settler", settler.address(), 99)); }
 
   PlatformStandIn platform;
--- a/tests/watch_bytes.h
+++ b/tests/watch_bytes.h
@@ -1,4 +1,4 @@
-// What discovery writes on a watch, as bytes.
+// The bytes that discovery writes on a watch: the response head and HTTP chunks.
 #pragma once
 
 #include <cstdio>
