--- a/tests/node_control_test.cpp
+++ b/tests/node_control_test.cpp
@@ -83,7 +83,7 @@
     send(other, kAsk.data(), kAsk.size(), MSG_NOSIGNAL);  // may find it closed already
     pollfd wait{other, POLLIN, 0};
     char byte = 0;
-    _exit(poll(&wait, 1, static_cast<int>(kPatience.count())) == 1 && recv(other, &byte, 1, 0) <= 0 ? 0 : 1);
+    _exit(poll(&wait, 1, static_cast<int>(kWaitLimit.count())) == 1 && recv(other, &byte, 1, 0) <= 0 ? 0 : 1);
   }
   int status = 0;
   ASSERT_EQ(waitpid(child, &status, 0), child);
--- a/tests/node_copies_soak_test.cpp
+++ b/tests/node_copies_soak_test.cpp
@@ -10,7 +10,7 @@
 #include <memory>
 #include <sstream>
 
-#include "judged_endpoint.h"
+#include "recorded_endpoint.h"
 #include "soak_seeds.h"
 #include "stop_soak_node.h"
 
@@ -35,17 +35,17 @@
     shape_.pause = milliseconds(150);
   }
 
-  AnsweringHabits DrawHabits() {
-    const Span spans[] = {{milliseconds(0), milliseconds(5)},
-                          {milliseconds(1), milliseconds(60)},
-                          {milliseconds(0), milliseconds(400)},
-                          {milliseconds(20), milliseconds(2000)}};
-    AnsweringHabits habits;
-    habits.serves = {milliseconds(2), milliseconds(40 + 80 * Draw(3))};
-    habits.copy_behind = spans[Draw(3)];
-    habits.copied = 0.1 * (1 + Draw(3));
+  AnswerBehavior DrawHabits() {
+    const DelayRange spans[] = {{milliseconds(0), milliseconds(5)},
+                                {milliseconds(1), milliseconds(60)},
+                                {milliseconds(0), milliseconds(400)},
+                                {milliseconds(20), milliseconds(2000)}};
+    AnswerBehavior habits;
+    habits.service_time = {milliseconds(2), milliseconds(40 + 80 * Draw(3))};
+    habits.duplicate_delay = spans[Draw(3)];
+    habits.duplicated = 0.1 * (1 + Draw(3));
     habits.refused = 0.05 * (1 + Draw(4));
-    habits.half = Draw(5) == 0;
+    habits.truncate_duplicates = Draw(5) == 0;
     if (Draw(3) == 0) habits.refusal = Answer(429, "X-Retry-In-Ms: 100\r\n");
     habits.error = habits.reset = 0.02;
     habits.silent = 0.01;
@@ -55,14 +55,14 @@
   void SetPlatform() {
     const std::string plain = "HTTP/1.1 204 No Content\r\n";
     const std::string answer = plain + (Draw(1) == 0 ? "Connection: close\r\n\r\n" : "\r\n");
-    platform_.AnswerNotices([this, answer, most = 60 * Draw(1) + 2](Socket& socket) {
+    platform_.AnswerNoticesWith([this, answer, most = 60 * Draw(1) + 2](Socket& socket) {
       if (!socket.Write(answer)) return false;
       later_.Write(socket, milliseconds(notices_answered_++ % most), answer);
       return true;
     });
-    platform_.ReadNotices([](int post) { return post % 5 != 0; });
+    platform_.ReadNoticesIf([](int post) { return post % 5 != 0; });
     // Behind lines of a watch the same line, and behind some a list of its first version, whole.
-    platform_.BehindLines([this](Socket& socket, const std::string& chunk) {
+    platform_.AfterWatchLines([this](Socket& socket, const std::string& chunk) {
       later_.Write(socket, milliseconds(20), chunk);
       if (lines_++ % 3 != 0) return;
       const std::string older = "{\"seq\":1,\"whole\":true,\"hosts\":" + first_list_.dump() + "}\n";
@@ -74,7 +74,7 @@
 
   void Build() {
     for (int i = 0; i < 2 * shape_.destinations; ++i) {
-      endpoints_.push_back(std::make_unique<JudgedEndpoint>(
+      endpoints_.push_back(std::make_unique<RecordedEndpoint>(
           record_, later_, GetParam() * 100 + endpoints_.size(), DrawHabits()));
       first_list_.push_back(Member(i, "Ready"));
     }
@@ -130,7 +130,7 @@
       EXPECT_EQ(node->alive_at_kill(), 0) << "alive at the earliest kill";
       EXPECT_EQ(node->Breaks(), "");
     }
-    EXPECT_EQ(endpoints_[0]->CallsFrom(drained_at_ + kDrainTold), 0) << "called although it drains";
+    EXPECT_EQ(endpoints_[0]->CallsStartedSince(drained_at_ + kDrainTold), 0) << "called although it drains";
     const auto calls = record_.calls();
     const auto notices = platform_.notices();
     int taken = 0;
@@ -138,21 +138,21 @@
       EXPECT_FALSE(message.closed && !message.node_died)
           << id << " was written whole and got no answer: " << message.how;
       const auto it = calls.find(id);
-      const std::vector<JudgedCall> own = it == calls.end() ? std::vector<JudgedCall>{} : it->second;
-      EXPECT_FALSE(Overlap(own)) << id << " was called twice at once" << Lines(id);
+      const std::vector<RecordedCall> own = it == calls.end() ? std::vector<RecordedCall>{} : it->second;
+      EXPECT_FALSE(AnyRanConcurrently(own)) << id << " was called twice at once" << Lines(id);
       if (message.message_class == "unsafe") ExpectOneRun(id, own);
       if (message.reply != "+OK") continue;
       ++taken;
-      EXPECT_TRUE(Served(own) || notices.contains(id)) << id << " has no end" << Lines(id);
+      EXPECT_TRUE(AnyDelivered(own) || notices.contains(id)) << id << " has no end" << Lines(id);
     }
     EXPECT_GT(taken, 50);
     std::cout << "[   soak   ] seed " << GetParam() << ": " << clients_saw_.messages().size() << " messages, "
               << taken << " taken on, " << notices.size() << " notices, " << later_.written()
               << " things said later\n";
   }
-  void ExpectOneRun(const std::string& id, const std::vector<JudgedCall>& calls) const {
-    const auto may_have_run =
-        std::count_if(calls.begin(), calls.end(), [](const JudgedCall& call) { return call.status != 503; });
+  void ExpectOneRun(const std::string& id, const std::vector<RecordedCall>& calls) const {
+    const auto may_have_run = std::count_if(calls.begin(), calls.end(),
+                                            [](const RecordedCall& call) { return call.status != 503; });
     EXPECT_LE(may_have_run, 1) << id << " was called again though it may have run" << Lines(id);
   }
   // What the logs say of a message, for a failure's trace.
@@ -176,12 +176,12 @@
   std::mt19937_64 random_;
   CallRecord record_;
   SoakRecord clients_saw_;
-  LaterWrites later_;
+  DelayedWrites later_;
   std::atomic<int> notices_answered_{0}, lines_{0};
   nlohmann::json first_list_ = nlohmann::json::array();
   Clock::time_point drained_at_;
   PlatformStandIn platform_;
-  std::vector<std::unique_ptr<JudgedEndpoint>> endpoints_;
+  std::vector<std::unique_ptr<RecordedEndpoint>> endpoints_;
   std::vector<std::unique_ptr<StopSoakNode>> nodes_;
   std::vector<std::unique_ptr<SoakClient>> clients_;
 };
--- a/tests/node_drains_test.cpp
+++ b/tests/node_drains_test.cpp
@@ -146,7 +146,7 @@
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ASSERT_TRUE(node.Start());
   ASSERT_TRUE(EnqueueOnceListed("before", "c=safe,d=60000,dest=7"));
-  platform.RefuseLists(503);
+  platform.SetListStatus(503);
   platform.EndWatches();
   std::this_thread::sleep_for(milliseconds(600));
   platform.Set(Drained());
--- a/tests/node_due_test.cpp
+++ b/tests/node_due_test.cpp
@@ -21,8 +21,8 @@
 class DueEnds : public NodeTest {
  protected:
   void ExpectToldBy(const std::string& id, Clock::time_point due) {
-    ASSERT_TRUE(Eventually([&] { return platform.ToldAt(id).has_value(); })) << id << " has no end";
-    const auto late = std::chrono::duration_cast<milliseconds>(*platform.ToldAt(id) - due);
+    ASSERT_TRUE(Eventually([&] { return platform.FirstNoticeAt(id).has_value(); })) << id << " has no end";
+    const auto late = std::chrono::duration_cast<milliseconds>(*platform.FirstNoticeAt(id) - due);
     EXPECT_LE(late, milliseconds(0)) << id << " was told late";
   }
 };
--- a/tests/node_endings_test.cpp
+++ b/tests/node_endings_test.cpp
@@ -139,7 +139,7 @@
   AddOrderedClass();
   ASSERT_TRUE(node.Start());
   Settle();
-  platform.RefuseNotices(503);
+  platform.SetNoticeStatus(503);
   ClientStandIn client(node.port);
   ASSERT_EQ(client.Ask(Ordered("first", "00aa", "c=ordered,k=a,d=500,dest=1")), "+OK");
   ASSERT_EQ(client.Ask(Ordered("second", "00aa", "c=ordered,k=b,d=60000,dest=2")), "+OK");
@@ -148,7 +148,7 @@
   ASSERT_TRUE(Eventually([&] { return platform.notice_posts() >= 3; }));  // ended, and not told yet
   Settle("later");
   EXPECT_EQ(endpoint.CallsFor("second"), 0);
-  platform.RefuseNotices(204);
+  platform.SetNoticeStatus(204);
   EXPECT_TRUE(Eventually([&] { return endpoint.CallsFor("second") == 1; }));
   EXPECT_TRUE(HasNotice("first", "returned"));
 }
--- a/tests/node_reload_test.cpp
+++ b/tests/node_reload_test.cpp
@@ -62,7 +62,7 @@
 }
 
 TEST_F(ReloadTest, ANoticeThatIsOutIsPostedAgainAtTheNewAddress) {
-  platform.RefuseNotices(500);
+  platform.SetNoticeStatus(500);
   ASSERT_TRUE(node.Start());
   ASSERT_EQ(Enqueue("late", "c=unsafe,d=50,dest=7"), "+OK");
   ASSERT_TRUE(Eventually([&] { return platform.notice_posts() >= 1; }));
--- a/tests/node_restart_test.cpp
+++ b/tests/node_restart_test.cpp
@@ -13,12 +13,12 @@
 using Json = nlohmann::json;
 
 TEST_F(NodeTest, OutOfTimeEndsByANoticeAndWaitsForThePlatform) {
-  platform.RefuseNotices(500);
+  platform.SetNoticeStatus(500);
   ASSERT_TRUE(node.Start());
   ASSERT_EQ(Enqueue("late", "c=unsafe,d=200,dest=7"), "+OK");  // nowhere to go
   ASSERT_TRUE(Eventually([&] { return platform.notice_posts() >= 2; }));
   node.Kill(SIGKILL);  // still owed: it is sent again by the next process
-  platform.RefuseNotices(204);
+  platform.SetNoticeStatus(204);
   ASSERT_TRUE(node.Start());
   ASSERT_TRUE(Eventually([&] { return platform.notices().contains("late"); }));
   EXPECT_EQ(platform.notices()["late"].size(), 1u);
@@ -79,7 +79,7 @@
   node.config["settings"]["discovery"] = "on_request";
   node.config["settings"]["balancers"] = 100;
   node.config["settings"]["guarantees"]["mustAskIn"] = 2000;
-  platform.RefuseLists(503);
+  platform.SetListStatus(503);
   ASSERT_TRUE(node.Start());
   ASSERT_TRUE(Eventually([&] { return platform.refused_lists() == 1; }));
   ASSERT_EQ(Enqueue("m", "c=safe,d=60000,dest=7"), "+OK");
@@ -87,7 +87,7 @@
   std::this_thread::sleep_for(std::chrono::milliseconds(1500));
   EXPECT_EQ(platform.refused_lists(), 1);
   platform.Set(PlatformStandIn::Member("s-2", added.address(), 8));
-  platform.RefuseLists(200);
+  platform.SetListStatus(200);
   ASSERT_TRUE(EnqueueOnceListed("news", "c=safe,d=60000,dest=8"));
   EXPECT_TRUE(Eventually([&] { return added.CallsFor("news") == 1; }));
   EXPECT_EQ(platform.whole_lists(), 0);
--- a/tests/node_rule_paths_test.cpp
+++ b/tests/node_rule_paths_test.cpp
@@ -78,14 +78,14 @@
 
 TEST_F(RulePaths, AnEndThatIsOwedStaysAsItWasDecided) {
   StartNode();
-  platform.RefuseNotices(503);
+  platform.SetNoticeStatus(503);
   ASSERT_EQ(HandIn("ended"), "+OK");
   ASSERT_TRUE(Eventually([&] { return platform.notice_posts() >= 1; }));
   SetEffect("read_like");
   Reload();
   node.Kill(SIGKILL);
   ASSERT_TRUE(node.Start());
-  platform.RefuseNotices(204);
+  platform.SetNoticeStatus(204);
   ExpectOneCallAndFailure("ended");
 }
 
--- a/tests/node_said_twice_test.cpp
+++ b/tests/node_said_twice_test.cpp
@@ -13,7 +13,7 @@
 
 struct CopiedAnswers {
   const char* name;
-  AnsweringHabits habits;
+  AnswerBehavior habits;
 };
 
 class CopiedAnswersTest : public SaidTwice, public ::testing::WithParamInterface<CopiedAnswers> {};
@@ -26,19 +26,19 @@
   ExpectRulesKept();
 }
 
-AnsweringHabits Habits(double copied, int least, int most) {
-  AnsweringHabits habits;
-  habits.copied = copied;
-  habits.copy_behind = {milliseconds(least), milliseconds(most)};
+AnswerBehavior Habits(double copied, int least, int most) {
+  AnswerBehavior habits;
+  habits.duplicated = copied;
+  habits.duplicate_delay = {milliseconds(least), milliseconds(most)};
   return habits;
 }
-AnsweringHabits Slow(AnsweringHabits habits, int least, int most, double refused) {
-  habits.serves = {milliseconds(least), milliseconds(most)};
+AnswerBehavior Slow(AnswerBehavior habits, int least, int most, double refused) {
+  habits.service_time = {milliseconds(least), milliseconds(most)};
   habits.refused = refused;
   return habits;
 }
-AnsweringHabits Half(AnsweringHabits habits) {
-  habits.half = true;
+AnswerBehavior Half(AnswerBehavior habits) {
+  habits.truncate_duplicates = true;
   return habits;
 }
 
@@ -56,14 +56,14 @@
 class CopiedNotices : public SaidTwice {
  protected:
   void Run(const std::string& answer, int most_behind_millis, bool leaves_some_unread) {
-    platform.AnswerNotices([this, answer, most_behind_millis](Socket& socket) {
+    platform.AnswerNoticesWith([this, answer, most_behind_millis](Socket& socket) {
       const int behind = std::uniform_int_distribution<int>(0, most_behind_millis)(random_);
       if (!socket.Write(answer)) return false;
       later.Write(socket, milliseconds(behind), answer);
       return true;
     });
-    if (leaves_some_unread) platform.ReadNotices([](int post) { return post % 5 != 0; });
-    AnsweringHabits habits;
+    if (leaves_some_unread) platform.ReadNoticesIf([](int post) { return post % 5 != 0; });
+    AnswerBehavior habits;
     habits.refused = 1;
     Build(habits, 2);
     Play(milliseconds(4000));
@@ -92,7 +92,7 @@
 
 // Guards against a message that runs twice because its command comes again once it has ended.
 TEST_F(CopiedCommands, RunOnce) {
-  AnsweringHabits habits;
+  AnswerBehavior habits;
   habits.refused = 0;
   Build(habits, 4);
   for (int i = 0; i < 40; ++i) {
@@ -108,7 +108,7 @@
 
 // The same, where the process is killed and started again between a command and its copy.
 TEST_F(CopiedCommands, RunOnceOverARestart) {
-  AnsweringHabits habits;
+  AnswerBehavior habits;
   habits.refused = 0;
   Build(habits, 5);
   for (int i = 0; i < 5; ++i) ASSERT_EQ(ClientStandIn(node.port).Ask(Unsafe("u" + std::to_string(i))), "+OK");
@@ -125,9 +125,9 @@
 // Guards against the copy of a refused command that is taken on.
 TEST_F(CopiedCommands, OfARefusedOneAreRefused) {
   node.config["settings"]["caps"]["maxOpen"] = 4;
-  AnsweringHabits habits;
+  AnswerBehavior habits;
   habits.refused = 0;
-  habits.serves = {milliseconds(250), milliseconds(250)};
+  habits.service_time = {milliseconds(250), milliseconds(250)};
   Build(habits, 6);
   std::this_thread::sleep_for(milliseconds(500));
   std::string refused;
@@ -144,18 +144,18 @@
 
 // Guards against calls to an endpoint that drains, because an older line or list of the watch comes again.
 TEST_F(SaidTwice, AnOlderLineOfTheListUndoesNoDrain) {
-  AnsweringHabits habits;
+  AnswerBehavior habits;
   habits.refused = 0;
   const std::string whole_again = "{\"seq\":2,\"whole\":true,\"hosts\":[";
   std::string ready;
   for (int i = 0; i < 2; ++i) {
     endpoints.push_back(
-        std::make_unique<JudgedEndpoint>(record, later, 7 + static_cast<std::uint64_t>(i), habits));
+        std::make_unique<RecordedEndpoint>(record, later, 7 + static_cast<std::uint64_t>(i), habits));
     const auto member = PlatformStandIn::Member("s-" + std::to_string(i), endpoints.back()->address(), 1);
     platform.Set(member);
     ready += (i > 0 ? "," : "") + member.dump();
   }
-  platform.BehindLines([&](Socket& socket, const std::string& chunk) {
+  platform.AfterWatchLines([&](Socket& socket, const std::string& chunk) {
     if (chunk.find("Terminating") == std::string::npos) return;
     const std::string line = whole_again + ready + "]}\n";
     std::ostringstream size;
@@ -172,7 +172,7 @@
   const auto drained_from = Clock::now();
   for (int i = 0; i < 30; ++i) EXPECT_EQ(hand_in("d" + std::to_string(i)), "+OK");
   std::this_thread::sleep_for(milliseconds(500));
-  EXPECT_EQ(endpoints[0]->CallsFrom(drained_from), 0);
+  EXPECT_EQ(endpoints[0]->CallsStartedSince(drained_from), 0);
 }
 
 }  // namespace
--- a/tests/node_soak_test.cpp
+++ b/tests/node_soak_test.cpp
@@ -133,7 +133,7 @@
   }
   // Its notice came by the end of its time, but for the restarts of its node.
   void ExpectInTime(const std::string& id, const SentMessage& message) {
-    const std::optional<Clock::time_point> told = platform_.ToldAt(id);
+    const std::optional<Clock::time_point> told = platform_.FirstNoticeAt(id);
     const Clock::time_point due = message.begun + message.life;
     if (!told || NodeOf(id).Excused(due)) return;
     EXPECT_LE(*told, due + kNoticeSlack) << id << " was told late";
--- a/tests/said_twice.h
+++ b/tests/said_twice.h
@@ -9,7 +9,7 @@
 #include <thread>
 #include <vector>
 
-#include "judged_endpoint.h"
+#include "recorded_endpoint.h"
 #include "stand_ins.h"
 
 namespace indigosaddle::testing {
@@ -24,10 +24,10 @@
     node.config["settings"]["caps"]["maxOpen"] = 2000;
   }
 
-  void Build(const AnsweringHabits& habits, std::uint64_t seed) {
+  void Build(const AnswerBehavior& habits, std::uint64_t seed) {
     for (int i = 0; i < 2 * kDestinations; ++i) {
       endpoints.push_back(
-          std::make_unique<JudgedEndpoint>(record, later, seed * 100 + endpoints.size(), habits));
+          std::make_unique<RecordedEndpoint>(record, later, seed * 100 + endpoints.size(), habits));
       platform.Set(PlatformStandIn::Member("s-" + std::to_string(i), endpoints.back()->address(),
                                            1 + i % kDestinations));
     }
@@ -80,11 +80,11 @@
     for (const std::string& id : taken_) {
       ++verdict.taken;
       const auto it = calls.find(id);
-      const std::vector<JudgedCall> own = it == calls.end() ? std::vector<JudgedCall>{} : it->second;
-      verdict.lost += !Served(own) && !notices.contains(id) ? 1 : 0;
-      verdict.at_once += Overlap(own) ? 1 : 0;
+      const std::vector<RecordedCall> own = it == calls.end() ? std::vector<RecordedCall>{} : it->second;
+      verdict.lost += !AnyDelivered(own) && !notices.contains(id) ? 1 : 0;
+      verdict.at_once += AnyRanConcurrently(own) ? 1 : 0;
       const auto may_have_run =
-          std::count_if(own.begin(), own.end(), [](const JudgedCall& call) { return call.status != 503; });
+          std::count_if(own.begin(), own.end(), [](const RecordedCall& call) { return call.status != 503; });
       verdict.called_again += may_have_run > 1 ? 1 : 0;
     }
     std::cout << "[  judged  ] " << verdict.taken << " taken on, " << verdict.lost << " lost, "
@@ -101,7 +101,7 @@
   }
   int Copies() const {
     int copies = 0;
-    for (const auto& endpoint : endpoints) copies += endpoint->copies();
+    for (const auto& endpoint : endpoints) copies += endpoint->duplicates();
     return copies;
   }
   int Connections() const {
@@ -111,9 +111,9 @@
   }
 
   CallRecord record;
-  LaterWrites later;
+  DelayedWrites later;
   PlatformStandIn platform;
-  std::vector<std::unique_ptr<JudgedEndpoint>> endpoints;
+  std::vector<std::unique_ptr<RecordedEndpoint>> endpoints;
   NodeProcess node;
 
  private:
--- a/tests/soak_client.h
+++ b/tests/soak_client.h
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-#include "later_writes.h"
+#include "delayed_writes.h"
 #include "soak_world.h"
 
 namespace indigosaddle::testing {
@@ -177,7 +177,7 @@
   const bool slow_;
   const double copied_;
   std::list<Socket> copies_;
-  LaterWrites later_;
+  DelayedWrites later_;
   int pieces_ = 0;
   Socket socket_;
   std::string bytes_;
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -36,7 +36,7 @@
 
 namespace indigosaddle::testing {
 
-// The built program as a child process. Its state folder is kept over restarts and removed with this object.
+// The built program as a child process. Its state folder is kept over restarts.
 class NodeProcess {
  public:
   explicit NodeProcess(std::string discovery) {
@@ -107,8 +107,7 @@
     return {WEXITSTATUS(pclose(out)), text};
   }
 
-  // Starts the node and waits until it serves; returns false if it ended instead. Above 0, `descriptors` limits
-  // its open files, and `pending_signal` is pending when the program starts.
+  // Starts the node and waits until it serves; false if it ended instead. 0: no limit, no pending signal.
   bool Start(rlim_t descriptors = 0, int pending_signal = 0) {
     WriteConfig(raw_config ? *raw_config : config.dump());
     if (!toml.empty()) WriteToml(toml);
