--- a/benchmarks/front_door_benchmark.cpp
+++ b/benchmarks/front_door_benchmark.cpp
@@ -26,8 +26,11 @@
   settings.max_open = 100000;
   settings.tick = Micros(5000);
   settings.classes.resize(4);
-  for (ClassSettings& c : settings.classes)
-    c.worth = 1, c.aim = Micros(1000000), c.deadline = Micros(60000000);
+  for (ClassSettings& c : settings.classes) {
+    c.worth = 1;
+    c.aim = Micros(1000000);
+    c.deadline = Micros(60000000);
+  }
   settings.kinds.resize(1);
   return settings;
 }
--- a/tests/net_discovery_test.cpp
+++ b/tests/net_discovery_test.cpp
@@ -1,4 +1,4 @@
-// When discovery is asked again, and what of its lists is read. No sockets.
+// Pacing of requests to discovery, and parsing of its lists. Uses no sockets.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(Backoff, WaitsAreDrawnBelowACeilingThatDoublesUpToTheMost) {
+TEST(Backoff, DelaysStayBelowACeilingThatDoublesUpToTheMaximum) {
   Backoff backoff(milliseconds(100), milliseconds(1000), 7);
   for (int round = 0; round < 2; ++round, backoff.Reset())
     for (const int ceiling : {200, 400, 800, 1000, 1000, 1000}) {
@@ -29,60 +29,60 @@
     }
 }
 
-TEST(Backoff, ASeedRepeatsItsWaitsAndAnotherDrawsOthers) {
+TEST(Backoff, ASeedRepeatsItsDelaysAndAnotherSeedDrawsOthers) {
   Backoff one(milliseconds(100), milliseconds(9000), 1), same(milliseconds(100), milliseconds(9000), 1),
       other(milliseconds(100), milliseconds(9000), 2);
-  int differ = 0;
+  int different_delays = 0;
   for (int i = 0; i < 20; ++i) {
     const Micros wait = one.NextDelay();
     EXPECT_EQ(wait, same.NextDelay());
-    differ += wait != other.NextDelay() ? 1 : 0;
+    different_delays += wait != other.NextDelay() ? 1 : 0;
   }
-  EXPECT_GE(differ, 19);
+  EXPECT_GE(different_delays, 19);
 }
 
-TEST(RequestPacing, FewNodesAskAsOneAndRequestsThatCostNothingAreNotSpread) {
+TEST(RequestPacing, SmallFleetsWaitLittleAndFreeRequestsAreNotSpread) {
   for (const int senders : {0, 1, 3, 1000}) {
-    const RequestPacing free = RequestPacingFor(senders, Micros(0));
-    EXPECT_EQ(free.initial_jitter, Micros(0));
-    EXPECT_EQ(free.min_retry_delay, milliseconds(100));
-    EXPECT_EQ(free.max_retry_delay, milliseconds(1000));
+    const RequestPacing pacing_without_cost = RequestPacingFor(senders, Micros(0));
+    EXPECT_EQ(pacing_without_cost.initial_jitter, Micros(0));
+    EXPECT_EQ(pacing_without_cost.min_retry_delay, milliseconds(100));
+    EXPECT_EQ(pacing_without_cost.max_retry_delay, milliseconds(1000));
   }
-  // An agent that answers at once is given up soon; a discovery that many ask is not asked the more for being
-  // slow: given up after 1.2 s, the fleet's herd day fell from 0.81 to 0.04.
+  // An agent that answers at once gets a short response timeout. A slow discovery that serves many nodes
+  // must not get more requests for being slow: with 1.2 s, the fleet's herd-day score fell from 0.81 to 0.04.
   EXPECT_EQ(RequestPacingFor(300, Micros(0)).response_timeout, milliseconds(1200));
   EXPECT_EQ(RequestPacingFor(300, seconds(10)).response_timeout, seconds(3));
-  const RequestPacing few = RequestPacingFor(3, seconds(10));
-  EXPECT_EQ(few.initial_jitter, milliseconds(150));
-  EXPECT_EQ(few.min_retry_delay, milliseconds(300));
-  EXPECT_EQ(few.max_retry_delay, milliseconds(1000));
+  const RequestPacing small_fleet = RequestPacingFor(3, seconds(10));
+  EXPECT_EQ(small_fleet.initial_jitter, milliseconds(150));
+  EXPECT_EQ(small_fleet.min_retry_delay, milliseconds(300));
+  EXPECT_EQ(small_fleet.max_retry_delay, milliseconds(1000));
 }
 
-// Whatever the fleet, a node that was refused asks again within 4 s, and one whose watch ended within 2: a
-// change counts as told 6 s after discovery can be reached, so that 2 s and more are left for the answer.
-// (The term before this one let a refused node wait for four times must_ask_in.)
-TEST(RequestPacing, TheWaitStaysWithinWhatTheRuleAllows) {
+// For every fleet size, a node whose request was refused retries within 4 s, and one whose watch ended
+// reconnects within 2 s. A node must know a change 6 s after discovery can be reached, so at least 2 s are
+// left for the answer. (An earlier rule let a refused node wait for four times must_ask_in.)
+TEST(RequestPacing, DelaysStayWithinTheListChangeDeadline) {
   for (const Micros must_ask_in : {seconds(2), seconds(10), seconds(60)}) {
     for (const int senders : {1, 10, 100, 300, 1000, 100000}) {
-      const RequestPacing pace = RequestPacingFor(senders, must_ask_in);
-      EXPECT_LE(pace.initial_jitter, seconds(1));
-      EXPECT_LE(pace.max_retry_delay, seconds(4));
+      const RequestPacing pacing = RequestPacingFor(senders, must_ask_in);
+      EXPECT_LE(pacing.initial_jitter, seconds(1));
+      EXPECT_LE(pacing.max_retry_delay, seconds(4));
     }
   }
 }
 
-// Asked at once by all, discovery refuses all; 100 nodes that came back after 0.1 to 1 s kept it refusing for
-// half a minute (70 requests a second). Spread over 1 s, 100 first requests make 10 in 100 ms on average; in
-// 10 bins more than 26 are met once in 50,000 draws (Poisson). Repeats come after 2 to 4 s, 3 s on average:
-// 33 a second, over 60 once in 50,000.
-TEST(RequestPacing, AHundredNodesThatStartInOneInstantDoNotAskInOne) {
-  const RequestPacing pace = RequestPacingFor(100, seconds(10));
-  std::map<std::int64_t, int> first, repeats;  // by 100 ms, by second
+// If all nodes ask at once, discovery refuses all of them; 100 nodes that retried after 0.1 to 1 s kept it
+// refusing for half a minute (70 requests a second). Spread over 1 s, 100 first requests make 10 per 100 ms
+// on average; more than 26 in one of 10 bins occur once in 50,000 draws (Poisson). Retries come after 2 to 4
+// s, 3 s on average: 33 a second, and over 60 once in 50,000 draws.
+TEST(RequestPacing, AHundredNodesThatStartTogetherSpreadTheirRequests) {
+  const RequestPacing pacing = RequestPacingFor(100, seconds(10));
+  std::map<std::int64_t, int> first, repeats;  // numbers of requests per 100 ms and per second
   for (std::uint64_t seed = 0; seed < 100; ++seed) {
-    Backoff backoff(pace.min_retry_delay, pace.max_retry_delay, seed);
-    Micros at = backoff.Jitter(pace.initial_jitter);
-    ++first[at / milliseconds(100)];
-    while ((at += backoff.NextDelay()) < seconds(100)) ++repeats[at / seconds(1)];
+    Backoff backoff(pacing.min_retry_delay, pacing.max_retry_delay, seed);
+    Micros request_time = backoff.Jitter(pacing.initial_jitter);
+    ++first[request_time / milliseconds(100)];
+    while ((request_time += backoff.NextDelay()) < seconds(100)) ++repeats[request_time / seconds(1)];
   }
   for (const auto& [bin, requests] : first) EXPECT_LE(requests, 26) << bin;
   int all = 0;
@@ -94,26 +94,26 @@
   EXPECT_GE(all, 3000);
 }
 
-// ---- The list's clock -------------------------------------------------------------------------------------
-
-TEST(ListClock, WhatCanNotBeReachedOutdatesNothing) {
+TEST(ListClock, AnUnreachableDiscoveryDoesNotOutdateTheList) {
   ListClock clock;
   clock.OnConfirmed(seconds(10));
-  for (int at = 12; at < 100; at += 4) clock.OnNoResponse(seconds(at));
+  for (int request_time = 12; request_time < 100; request_time += 4)
+    clock.OnNoResponse(seconds(request_time));
   EXPECT_EQ(clock.outdated_from(), Micros::max());
 }
 
-TEST(ListClock, ARefusalStartsNothingAnew) {
+TEST(ListClock, ARefusalDoesNotRestartTheClock) {
   ListClock clock;
   clock.OnConfirmed(seconds(10));
-  for (const int at : {11, 13, 15}) {
+  for (const int request_time : {11, 13, 15}) {
     clock.OnRefused();
-    EXPECT_EQ(clock.outdated_from(), seconds(16) - kListChangeMargin) << at;
+    EXPECT_EQ(clock.outdated_from(), seconds(16) - kListChangeMargin) << request_time;
   }
 }
 
-// Refused after it could not be reached: it may have come back when the request before was begun, no sooner.
-TEST(ListClock, ItRunsFromTheLatestRequestThatWasNotAnswered) {
+// Discovery refuses after it could not be reached: it may have come back when the previous, unanswered
+// request was sent, but no sooner.
+TEST(ListClock, TheClockRunsFromTheLatestUnansweredRequest) {
   ListClock clock;
   clock.OnConfirmed(seconds(10));
   clock.OnNoResponse(seconds(30));
@@ -121,14 +121,14 @@
   EXPECT_EQ(clock.outdated_from(), seconds(36) - kListChangeMargin);
 }
 
-TEST(ListClock, AListSetsItRight) {
+TEST(ListClock, AConfirmedListStopsTheClock) {
   ListClock clock;
   clock.OnRefused();
   clock.OnConfirmed(seconds(10));
   EXPECT_EQ(clock.outdated_from(), Micros::max());
 }
 
-TEST(JsonNesting, AnObjectIsOpenUntilItsLastBraceWhateverItsStringsHold) {
+TEST(JsonNesting, AnObjectIsOpenUntilItsLastBraceWhateverItsStringsContain) {
   for (const std::string text : {R"({"a":{"b":"}\"}"},"c":[{}]})", R"({"a":"\\"})", R"({ "x" : "{{{" })"}) {
     for (std::size_t cut = 1; cut < text.size(); ++cut) {
       JsonNesting nesting;
@@ -140,66 +140,67 @@
   }
 }
 
-const std::string kGood =
+const std::string kValidEntry =
     R"({"host":"s-1","dial":"127.0.0.1:9","site":"a","class":"m2","block":3,"health":"Ready","share":1.0,"born_ms":0})";
 
 std::string List(const std::string& hosts) { return R"({"seq":41,"whole":true,"hosts":[)" + hosts + "]}"; }
 
-TEST(Members, AGoodListIsReadWhole) {
-  const auto news = ParseMembers(List(kGood));
-  ASSERT_TRUE(news);
-  EXPECT_EQ(news->version, 41u);
-  EXPECT_TRUE(news->whole);
-  ASSERT_EQ(news->members.size(), 1u);
-  EXPECT_EQ(news->members[0].dial, "127.0.0.1:9");
-  EXPECT_EQ(news->members[0].kind, "m2");
-  EXPECT_EQ(news->members[0].block, 3u);
-  EXPECT_EQ(news->members[0].health, Health::kReady);
+TEST(Members, AValidListIsReadInFull) {
+  const auto update = ParseMembers(List(kValidEntry));
+  ASSERT_TRUE(update);
+  EXPECT_EQ(update->version, 41u);
+  EXPECT_TRUE(update->whole);
+  ASSERT_EQ(update->members.size(), 1u);
+  EXPECT_EQ(update->members[0].dial, "127.0.0.1:9");
+  EXPECT_EQ(update->members[0].kind, "m2");
+  EXPECT_EQ(update->members[0].block, 3u);
+  EXPECT_EQ(update->members[0].health, Health::kReady);
 }
 
-TEST(Members, BadEntriesAreSkippedAndTheRestUsed) {
-  for (const std::string bad :
+TEST(Members, MalformedEntriesAreSkippedAndTheRestUsed) {
+  for (const std::string malformed :
        {R"(7)", R"({})", R"({"host":"x","dial":"nowhere","block":3,"health":"Ready"})",
         R"({"host":"x","dial":"127.0.0.1:1","block":-3,"health":"Ready"})",
         R"({"host":"x","dial":"127.0.0.1:1","block":"3","health":"Ready"})",
         R"({"host":"x","dial":"127.0.0.1:1","block":3,"health":"Fine"})",
         R"({"host":"a\r\nb","dial":"127.0.0.1:1","block":3,"health":"Ready"})",
         R"({"host":5,"dial":"127.0.0.1:1","block":3,"health":"Ready"})"}) {
-    const auto news = ParseMembers(List(bad + "," + kGood));
-    ASSERT_TRUE(news) << bad;
-    EXPECT_EQ(news->members.size(), 1u) << bad;
-    EXPECT_EQ(news->skipped.size(), 1u) << bad;
+    const auto update = ParseMembers(List(malformed + "," + kValidEntry));
+    ASSERT_TRUE(update) << malformed;
+    EXPECT_EQ(update->members.size(), 1u) << malformed;
+    EXPECT_EQ(update->skipped.size(), 1u) << malformed;
   }
 }
 
-TEST(Members, NamedTwiceTheCarefulReadingHolds) {
-  std::string draining = kGood;
+TEST(Members, OfTwoEntriesForAHostTheMoreCautiousHealthIsUsed) {
+  std::string draining = kValidEntry;
   draining.replace(draining.find("Ready"), 5, "Terminating");
-  const auto news = ParseMembers(List(kGood + "," + draining));
-  ASSERT_TRUE(news);
-  ASSERT_EQ(news->members.size(), 1u);
-  EXPECT_EQ(news->members[0].health, Health::kTerminating);
+  const auto update = ParseMembers(List(kValidEntry + "," + draining));
+  ASSERT_TRUE(update);
+  ASSERT_EQ(update->members.size(), 1u);
+  EXPECT_EQ(update->members[0].health, Health::kTerminating);
 }
 
-TEST(Members, WhatIsNoListIsNone) {
-  for (const std::string bad : {"", "[]", "{}", "{\"seq\":1}", R"({"seq":-1,"whole":true,"hosts":[]})",
-                                R"({"seq":1,"whole":1,"hosts":[]})", R"({"seq":1,"whole":true,"hosts":{}})",
-                                R"({"seq":1,"whole":true,"hosts":[)"}) {
-    EXPECT_FALSE(ParseMembers(bad)) << bad;
+TEST(Members, AMalformedListIsRejected) {
+  for (const std::string malformed :
+       {"", "[]", "{}", "{\"seq\":1}", R"({"seq":-1,"whole":true,"hosts":[]})",
+        R"({"seq":1,"whole":1,"hosts":[]})", R"({"seq":1,"whole":true,"hosts":{}})",
+        R"({"seq":1,"whole":true,"hosts":[)"}) {
+    EXPECT_FALSE(ParseMembers(malformed)) << malformed;
   }
 }
 
 TEST(Members, SeededMutationsNeverCrash) {
   std::mt19937 random(17);
-  const std::string whole = List(kGood);
-  int read = 0;
+  const std::string whole = List(kValidEntry);
+  int accepted = 0;
   for (int round = 0; round < 5000; ++round) {
-    std::string bad = whole;
-    for (int i = 0; i < 2; ++i) bad[random() % bad.size()] = static_cast<char>(random());
-    read += ParseMembers(bad).has_value() ? 1 : 0;
+    std::string malformed = whole;
+    for (int i = 0; i < 2; ++i) malformed[random() % malformed.size()] = static_cast<char>(random());
+    accepted += ParseMembers(malformed).has_value() ? 1 : 0;
   }
-  EXPECT_GT(read, 0);
-  EXPECT_LT(read, 5000);
+  EXPECT_GT(accepted, 0);
+  EXPECT_LT(accepted, 5000);
 }
 
 }  // namespace
--- a/tests/net_loop_test.cpp
+++ b/tests/net_loop_test.cpp
@@ -1,5 +1,5 @@
-// Timers and streams at their ends: what may be owed in the instant in which one is stopped, destroyed or
-// closed (docs/design/005).
+// Timers that are stopped, destroyed or restarted and streams that are closed while an event is still pending
+// (docs/design/005).
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -13,51 +13,58 @@
 
 using std::chrono::milliseconds;
 
-void Pass(net::Loop& loop) { uv_run(loop.raw(), UV_RUN_NOWAIT); }
+void RunLoopPass(net::Loop& loop) { uv_run(loop.raw(), UV_RUN_NOWAIT); }
 
-TEST(TimerEndings, ATimerMayBeDestroyedByWhatItDoes) {
+TEST(TimerLifetime, ATimerMayBeDestroyedByItsCallback) {
   net::Loop loop;
-  int due = 0;
+  int fired = 0;
   std::unique_ptr<net::Timer> timer;
-  timer = std::make_unique<net::Timer>(loop, [&] { ++due, timer.reset(); });
+  timer = std::make_unique<net::Timer>(loop, [&] {
+    ++fired;
+    timer.reset();
+  });
   timer->Start(Micros(0));
-  for (int pass = 0; pass < 3; ++pass) Pass(loop);
-  EXPECT_EQ(due, 1);
+  for (int pass = 0; pass < 3; ++pass) RunLoopPass(loop);
+  EXPECT_EQ(fired, 1);
 }
 
-// Two are due in one pass, and the first ends the second: it says nothing more.
-TEST(TimerEndings, ATimerThatIsStoppedOrDestroyedInItsPassIsNotDue) {
+// Two timers expire in one pass, and the first stops or destroys the second: the second must not fire.
+TEST(TimerLifetime, ATimerStoppedOrDestroyedInThePassDoesNotFire) {
   for (const bool destroyed : {false, true}) {
     net::Loop loop;
-    int due = 0;
+    int fired = 0;
     std::unique_ptr<net::Timer> first, second;
-    second = std::make_unique<net::Timer>(loop, [&] { ++due; });
+    second = std::make_unique<net::Timer>(loop, [&] { ++fired; });
     first = std::make_unique<net::Timer>(loop, [&] { destroyed ? second.reset() : second->Stop(); });
     first->Start(milliseconds(1));
     second->Start(milliseconds(2));
-    std::this_thread::sleep_for(milliseconds(20));  // the loop was held up
-    for (int pass = 0; pass < 3; ++pass) Pass(loop);
-    EXPECT_EQ(due, 0) << destroyed;
+    std::this_thread::sleep_for(milliseconds(20));  // the loop is stalled
+    for (int pass = 0; pass < 3; ++pass) RunLoopPass(loop);
+    EXPECT_EQ(fired, 0) << destroyed;
   }
 }
 
-// A timer that is started again by what it does comes once more, and not within the same pass for ever.
-TEST(TimerEndings, ATimerThatIsStartedAgainComesWithALaterPass) {
+// A timer that its callback restarts fires in a later pass, not endlessly within the same one.
+TEST(TimerLifetime, ARestartedTimerFiresInALaterPass) {
   net::Loop loop;
-  int due = 0;
+  int fired = 0;
   std::unique_ptr<net::Timer> timer;
-  timer = std::make_unique<net::Timer>(loop, [&] { ++due, timer->Start(Micros(0)); });
+  timer = std::make_unique<net::Timer>(loop, [&] {
+    ++fired;
+    timer->Start(Micros(0));
+  });
   timer->Start(Micros(0));
-  Pass(loop);
-  EXPECT_LE(due, 1);
+  RunLoopPass(loop);
+  EXPECT_LE(fired, 1);
   for (int pass = 0; pass < 5; ++pass) {
     std::this_thread::sleep_for(milliseconds(3));
-    Pass(loop);
+    RunLoopPass(loop);
   }
-  EXPECT_GE(due, 3);
+  EXPECT_GE(fired, 3);
 }
 
-class Heard : public net::Stream::Listener {
+// Records what a stream reports.
+class RecordingListener : public net::Stream::Listener {
  public:
   void OnConnected(int error) override { connected = error == 0; }
   void OnBytes(std::string_view bytes) override { text += bytes; }
@@ -67,49 +74,52 @@
   int ends = 0;
 };
 
-// A stream that is closed says nothing of the bytes and the end that lay there, and may be kept.
-TEST(StreamEndings, AClosedStreamSaysNothingMore) {
+// A closed stream reports neither the unread bytes nor the end of the connection, and its object may live on.
+TEST(StreamLifetime, AClosedStreamReportsNothing) {
   net::Loop loop;
   int port = 0;
   const Socket listener = Socket::Listen(port);
-  Heard heard;
-  net::Stream stream(loop, heard);
+  RecordingListener recorder;
+  net::Stream stream(loop, recorder);
   ASSERT_EQ(stream.Connect("127.0.0.1:" + std::to_string(port)), 0);
   Socket peer(accept4(listener.get(), nullptr, nullptr, SOCK_CLOEXEC));
-  for (int pass = 0; pass < 100 && !heard.connected; ++pass) Pass(loop);
-  ASSERT_TRUE(heard.connected);
+  for (int pass = 0; pass < 100 && !recorder.connected; ++pass) RunLoopPass(loop);
+  ASSERT_TRUE(recorder.connected);
   ASSERT_EQ(stream.StartReading(), 0);
   ASSERT_TRUE(peer.Write("unread"));
   peer.Close();
   stream.Close();
-  for (int pass = 0; pass < 5; ++pass) Pass(loop);
-  EXPECT_EQ(heard.text, "");
-  EXPECT_EQ(heard.ends, 0);
+  for (int pass = 0; pass < 5; ++pass) RunLoopPass(loop);
+  EXPECT_EQ(recorder.text, "");
+  EXPECT_EQ(recorder.ends, 0);
 }
 
-// What a timer is about to give up is read first where it lies there.
-TEST(StreamEndings, UnreadBytesPutATimerOff) {
+// Before a timeout is acted on, bytes that have already arrived are read.
+TEST(StreamLifetime, UnreadBytesRestartATimer) {
   net::Loop loop;
-  int port = 0, due = 0;
+  int port = 0, fired = 0;
   const Socket listener = Socket::Listen(port);
-  Heard heard;
-  net::Stream stream(loop, heard);
+  RecordingListener recorder;
+  net::Stream stream(loop, recorder);
   std::unique_ptr<net::Timer> timer;
-  std::string at_last;
+  std::string text_at_timeout;
   timer = std::make_unique<net::Timer>(loop, [&] {
-    ++due;
-    if (!net::RestartIfUnread(*timer, stream)) at_last = heard.text, loop.Stop();
+    ++fired;
+    if (!net::RestartIfUnread(*timer, stream)) {
+      text_at_timeout = recorder.text;
+      loop.Stop();
+    }
   });
   ASSERT_EQ(stream.Connect("127.0.0.1:" + std::to_string(port)), 0);
   const Socket peer(accept4(listener.get(), nullptr, nullptr, SOCK_CLOEXEC));
-  for (int pass = 0; pass < 100 && !heard.connected; ++pass) Pass(loop);
+  for (int pass = 0; pass < 100 && !recorder.connected; ++pass) RunLoopPass(loop);
   ASSERT_EQ(stream.StartReading(), 0);
   timer->Start(milliseconds(5));
-  std::this_thread::sleep_for(milliseconds(20));  // the loop is held up, and bytes come meanwhile
+  std::this_thread::sleep_for(milliseconds(20));  // the loop is stalled, and bytes arrive meanwhile
   ASSERT_TRUE(peer.Write("in time"));
   loop.Run();
-  EXPECT_EQ(at_last, "in time");
-  EXPECT_GE(due, 2);
+  EXPECT_EQ(text_at_timeout, "in time");
+  EXPECT_GE(fired, 2);
 }
 
 }  // namespace
--- a/tests/net_notice_answers_test.cpp
+++ b/tests/net_notice_answers_test.cpp
@@ -1,4 +1,4 @@
-// Answers to notices that say less than that the platform has them: the notices are told again.
+// Answers to notices that do not confirm that the platform accepted them: the notices are sent again.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -12,10 +12,11 @@
 namespace indigosaddle::testing {
 namespace {
 
-class OddNotices : public ::testing::Test, private net::Notices::Handler {
+class NoticeAnswers : public ::testing::Test, private net::Notices::Handler {
  protected:
-  // Posts one notice; the answers come in order, each on a connection that then ends, the last from then on.
-  void Run(const std::vector<std::string>& answers) {
+  // Posts one notice. Each post gets the next of `answers`, and its connection is closed; the last answer
+  // repeats.
+  void PostAndAnswer(const std::vector<std::string>& answers) {
     HttpServer server([&, this](Socket& socket, const HttpRequest&) {
       const std::size_t post = static_cast<std::size_t>(posts_++);
       socket.Write(answers[std::min(post, answers.size() - 1)]);
@@ -24,27 +25,28 @@
     net::Loop loop;
     net::Notices notices(loop, *this, server.address());
     notices.Post({{7, net::FormatFailedNotice("a")}});
-    const auto give_up = Clock::now() + std::chrono::seconds(10);
-    net::Timer look(loop, [&] {
-      !taken_.empty() || Clock::now() > give_up ? loop.Stop() : look.Start(std::chrono::milliseconds(5));
+    const auto deadline = Clock::now() + std::chrono::seconds(10);
+    net::Timer poll_timer(loop, [&] {
+      !accepted_serials_.empty() || Clock::now() > deadline ? loop.Stop()
+                                                            : poll_timer.Start(std::chrono::milliseconds(5));
     });
-    look.Start(std::chrono::milliseconds(5));
+    poll_timer.Start(std::chrono::milliseconds(5));
     loop.Run();
     notices.Close();
     server.Stop();
   }
 
   std::atomic<int> posts_{0};
-  std::vector<std::uint64_t> taken_;
-  int unreadable_ = 0;
+  std::vector<std::uint64_t> accepted_serials_;
+  int unreadable_count_ = 0;
 
  private:
-  void OnNoticesAccepted(const std::vector<std::uint64_t>& serials) override { taken_ = serials; }
-  void OnNoticeUnreadable(std::string_view) override { ++unreadable_; }
+  void OnNoticesAccepted(const std::vector<std::uint64_t>& serials) override { accepted_serials_ = serials; }
+  void OnNoticeUnreadable(std::string_view) override { ++unreadable_count_; }
 };
 
-// A message whose notice counts as taken, and is not, is lost.
-TEST_F(OddNotices, OnlyAWholeAnswerThatSaysSoTakesANotice) {
+// Guards against a lost message: its notice counted as accepted although the platform did not accept it.
+TEST_F(NoticeAnswers, OnlyACompleteSuccessAnswerAcceptsANotice) {
   const std::vector<std::string> answers = {"",
                                             "HTTP/1.1 204",
                                             "HTTP/1.1 204 No Content\r\n",
@@ -56,10 +58,10 @@
                                             "HTTP/1.1 100 Continue\r\n\r\n",
                                             "rubbish\r\n\r\n",
                                             "HTTP/1.1 204 No Content\r\n\r\n"};
-  Run(answers);
+  PostAndAnswer(answers);
   EXPECT_EQ(posts_, static_cast<int>(answers.size()));
-  EXPECT_EQ(taken_, std::vector<std::uint64_t>{7});
-  EXPECT_EQ(unreadable_, 0);
+  EXPECT_EQ(accepted_serials_, std::vector<std::uint64_t>{7});
+  EXPECT_EQ(unreadable_count_, 0);
 }
 
 }  // namespace
--- a/tests/net_resp_test.cpp
+++ b/tests/net_resp_test.cpp
@@ -1,4 +1,4 @@
-// RESP2 and what a client hands in, as bytes. No sockets.
+// Parsing of RESP2 and of the ENQUEUE command. Uses no sockets.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -28,7 +28,7 @@
   return out;
 }
 
-// Reads pieces; "!" and the trouble end the list where the stream broke.
+// Reads the pieces of a stream. If the stream is malformed, the last command is "!" and the error.
 Commands ReadAll(const std::vector<std::string_view>& pieces) {
   RespReader reader;
   Commands commands;
@@ -47,49 +47,49 @@
 }
 
 TEST(Resp, EverySplitPointReadsTheSame) {
-  const Commands wanted = {
+  const Commands expected = {
       {"PING"}, {"ENQUEUE", "0", "id", "c=a,d=1,dest=2", std::string("\r\n\0$5*", 6)}, {"", "x"}};
   std::string bytes;
-  for (const auto& command : wanted) bytes += Command(command);
+  for (const auto& command : expected) bytes += Command(command);
   bytes.insert(0, "*0\r\n");
   const std::string_view all = bytes;
-  EXPECT_EQ(ReadAll({all}), wanted);
+  EXPECT_EQ(ReadAll({all}), expected);
   for (std::size_t i = 0; i <= all.size(); ++i) {
-    EXPECT_EQ(ReadAll({all.substr(0, i), all.substr(i)}), wanted) << i;
+    EXPECT_EQ(ReadAll({all.substr(0, i), all.substr(i)}), expected) << i;
   }
   std::vector<std::string_view> single;
   for (std::size_t i = 0; i < all.size(); ++i) single.push_back(all.substr(i, 1));
-  EXPECT_EQ(ReadAll(single), wanted);
+  EXPECT_EQ(ReadAll(single), expected);
 }
 
-TEST(Resp, TheLargestBodyPassesAndOneByteMoreDoesNot) {
+TEST(Resp, TheLargestBodyIsAcceptedAndOneByteMoreIsNot) {
   const std::string body(kMaxBodyBytes, 'x');
   EXPECT_EQ(ReadAll({Command({"A", body})}).at(0).at(1), body);
   EXPECT_EQ(ReadAll({Command({"A", body + "x"})}).at(0).at(0), "!");
 }
 
-TEST(Resp, WhatCantBeFollowedBreaksTheStream) {
-  for (const std::string bad :
+TEST(Resp, AMalformedCommandFailsTheStream) {
+  for (const std::string malformed :
        {"PING\r\n", "*x\r\n", "*-1\r\n", "*65\r\n", "*99999999999999999999\r\n", "*1\n", "*1\r\n+OK\r\n",
         "*1\r\n$-1\r\n", "*1\r\n$65537\r\n", "*1\r\n$3\r\nabcd\r\n", "*1\r\n$18446744073709551617\r\n",
         "*11111111111111111111111111111111111111"}) {
-    EXPECT_EQ(ReadAll({bad}).at(0).at(0), "!") << bad;
+    EXPECT_EQ(ReadAll({malformed}).at(0).at(0), "!") << malformed;
   }
 }
 
 TEST(Resp, SeededMutationsNeverCrashAndStayBounded) {
   std::mt19937 random(11);
-  const std::string whole = Command({"PING"}) + Command({"ENQUEUE", "0", "id", "c=a,d=1,dest=2", "body"});
+  const std::string valid = Command({"PING"}) + Command({"ENQUEUE", "0", "id", "c=a,d=1,dest=2", "body"});
   for (int round = 0; round < 20000; ++round) {
-    std::string bad = whole;
-    for (int i = 0; i < 3; ++i) bad[random() % bad.size()] = static_cast<char>(random());
-    const std::size_t cut = random() % bad.size();
-    const std::string_view view = bad;
+    std::string malformed = valid;
+    for (int i = 0; i < 3; ++i) malformed[random() % malformed.size()] = static_cast<char>(random());
+    const std::size_t cut = random() % malformed.size();
+    const std::string_view view = malformed;
     EXPECT_LE(ReadAll({view.substr(0, cut), view.substr(cut)}).size(), 4u);
   }
 }
 
-TEST(Enqueue, TakesTheFieldsAndLeavesTheRestAsItCame) {
+TEST(Enqueue, ReadsTheFieldsAndKeepsTheBodyUnchanged) {
   Enqueue e;
   EXPECT_EQ(ParseEnqueue({"ENQUEUE", "0", "9b1f",
                           "c=notice,t=acme,d=8000.5,k=5c0f,thread=o1,dest=7,r=1,again=1,x=", "B\r\n"},
@@ -105,15 +105,15 @@
   EXPECT_EQ(e.body, "B\r\n");
 }
 
-TEST(Enqueue, SaysWhatIsWrong) {
-  const std::string good = "c=notice,d=8000,dest=7";
-  for (const std::vector<std::string>& bad :
-       std::vector<std::vector<std::string>>{{"ENQUEUE", "0", "id", good},
-                                             {"ENQUEUE", "0", "id", good, "b", "more"},
-                                             {"ENQUEUE", "0", "", good, "b"},
-                                             {"ENQUEUE", "0", "two words", good, "b"},
-                                             {"ENQUEUE", "0", "id\r\nX-Injected: 1", good, "b"},
-                                             {"ENQUEUE", "0", std::string(300, 'i'), good, "b"},
+TEST(Enqueue, RejectsMalformedCommands) {
+  const std::string valid_fields = "c=notice,d=8000,dest=7";
+  for (const std::vector<std::string>& malformed :
+       std::vector<std::vector<std::string>>{{"ENQUEUE", "0", "id", valid_fields},
+                                             {"ENQUEUE", "0", "id", valid_fields, "b", "more"},
+                                             {"ENQUEUE", "0", "", valid_fields, "b"},
+                                             {"ENQUEUE", "0", "two words", valid_fields, "b"},
+                                             {"ENQUEUE", "0", "id\r\nX-Injected: 1", valid_fields, "b"},
+                                             {"ENQUEUE", "0", std::string(300, 'i'), valid_fields, "b"},
                                              {"ENQUEUE", "0", "id", "", "b"},
                                              {"ENQUEUE", "0", "id", "c", "b"},
                                              {"ENQUEUE", "0", "id", "c=,d=1,dest=2", "b"},
@@ -128,7 +128,7 @@
                                              {"ENQUEUE", "0", "id", "c=a,d=1,dest=2,k=a\nb", "b"},
                                              {"ENQUEUE", "0", "id", "c=a,d=1,dest=2,k=", "b"}}) {
     Enqueue e;
-    EXPECT_NE(ParseEnqueue(bad, e), "") << ::testing::PrintToString(bad);
+    EXPECT_NE(ParseEnqueue(malformed, e), "") << ::testing::PrintToString(malformed);
   }
 }
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,4 +1,4 @@
-// HTTP answers, calls, reports and notices, as bytes. No sockets.
+// Parsing of HTTP answers and load reports, and formatting of calls and notices. Uses no sockets.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -35,15 +35,15 @@
   }
 }
 
-TEST(HttpReader, TheFirstLineAloneTellsTheStatus) {
+TEST(HttpReader, TheStatusIsKnownAfterTheStatusLine) {
   HttpReader reader(10);
   ASSERT_TRUE(reader.Read("HTTP/1.1 200 OK\r\nX-A: "));
   EXPECT_EQ(reader.status(), 200);
   EXPECT_FALSE(reader.head_done());
 }
 
-// A first line that breaks off tells nothing, however much of it says 200.
-TEST(HttpReader, NoStatusBeforeTheFirstLinesEnd) {
+// A truncated status line gives no status, even if it already contains 200.
+TEST(HttpReader, NoStatusBeforeTheStatusLineIsComplete) {
   for (const std::string before : {"", "HTTP/1.1 100 Continue\r\nX-A: b\r\n\r\n"}) {
     for (const std::string line : {"HTTP/1.1 200 OK\r\n", "HTTP/1.1 200\r\n", "HTTP/1.0 200 OK\n"}) {
       for (std::size_t cut = 0; cut <= line.size(); ++cut) {
@@ -62,15 +62,15 @@
   }
 }
 
-// Half a line that lay on the connection as its call was written: what follows is the answer, what it says of
-// the call nobody can tell.
-TEST(HttpReader, HalfALineInFrontOfAnAnswerSpoilsIt) {
+// A partial line was on the connection when its call was written. The answer follows it, but the two cannot
+// be told apart.
+TEST(HttpReader, APartialLineBeforeAnAnswerMakesItMalformed) {
   const std::string line = "HTTP/1.1 200 OK\r\n";
   for (std::size_t cut = 1; cut + 2 <= line.size(); ++cut) {
     HttpReader reader(10);
-    const bool good =
+    const bool accepted =
         reader.Read(line.substr(0, cut)) && reader.Read("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n");
-    EXPECT_FALSE(good) << cut;
+    EXPECT_FALSE(accepted) << cut;
     EXPECT_EQ(reader.status(), 0) << cut;
   }
 }
@@ -95,28 +95,29 @@
   }
 }
 
-TEST(HttpReader, LimitsAndRubbishAreRefused) {
+TEST(HttpReader, OversizedAndMalformedAnswersAreRejected) {
   const std::string long_value(20000, 'v');
-  for (const std::string& bad :
+  for (const std::string& malformed :
        {std::string("rubbish\r\n\r\n"), "HTTP/1.1 200 OK\r\nX: " + long_value + "\r\n\r\n",
         std::string("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n01234567890"),
         std::string("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n"),
         std::string("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nab and more")}) {
     HttpReader reader(10);
-    EXPECT_FALSE(reader.Read(bad)) << bad.substr(0, 60);
+    EXPECT_FALSE(reader.Read(malformed)) << malformed.substr(0, 60);
   }
 }
 
 TEST(HttpReader, SeededMutationsNeverCrash) {
   std::mt19937 random(13);
-  const std::string whole =
+  const std::string valid =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nA: b\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
   for (int round = 0; round < 20000; ++round) {
-    std::string bad = whole;
-    for (int i = 0; i < 3; ++i) bad[random() % bad.size()] = static_cast<char>(random());
+    std::string malformed = valid;
+    for (int i = 0; i < 3; ++i) malformed[random() % malformed.size()] = static_cast<char>(random());
     HttpReader reader(100);
-    const std::size_t cut = random() % bad.size();
-    if (reader.Read(std::string_view(bad).substr(0, cut))) reader.Read(std::string_view(bad).substr(cut));
+    const std::size_t cut = random() % malformed.size();
+    if (reader.Read(std::string_view(malformed).substr(0, cut)))
+      reader.Read(std::string_view(malformed).substr(cut));
     reader.ReadEnd();
     EXPECT_GE(reader.status(), 0);
   }
@@ -137,17 +138,17 @@
   EXPECT_EQ(FormatCall(request).find("Idempotency-Key"), std::string::npos);
 }
 
-TEST(Report, ReadsWhatItKnows) {
+TEST(LoadReport, ReadsKnownFieldsOnly) {
   EXPECT_EQ(ParseLoadReport("x0=0.4,x1=25").left, 0.4);
   EXPECT_EQ(ParseLoadReport("x0=0.4, x1=25").limit, 25);
   EXPECT_EQ(ParseLoadReport("cpu=1,x1=3").left, -1);
-  for (const char* bad : {"", "x0", "x0=", "x0=a,", "=,=", "x0=nan", ",,,"}) {
-    EXPECT_EQ(ParseLoadReport(bad).left, -1) << bad;
-    EXPECT_EQ(ParseLoadReport(bad).limit, -1) << bad;
+  for (const char* malformed : {"", "x0", "x0=", "x0=a,", "=,=", "x0=nan", ",,,"}) {
+    EXPECT_EQ(ParseLoadReport(malformed).left, -1) << malformed;
+    EXPECT_EQ(ParseLoadReport(malformed).limit, -1) << malformed;
   }
 }
 
-TEST(Notice, OneJsonObject) {
+TEST(Notice, IsOneJsonObject) {
   EXPECT_EQ(FormatFailedNotice("9b\"1"), R"({"id":"9b\"1","state":"failed"})");
   EXPECT_EQ(FormatReturnedNotice("a", milliseconds(500)), R"({"id":"a","state":"returned","after_ms":500})");
   EXPECT_EQ(FormatReturnedNotice("a", Micros(0)), R"({"id":"a","state":"returned"})");
--- a/tests/platform_stand_in.h
+++ b/tests/platform_stand_in.h
@@ -87,9 +87,9 @@
   // Called with the number of each post from 1. Returning false closes its connection without recording it.
   void ReadNoticesIf(std::function<bool(int)> should_read) { should_read_notices_ = std::move(should_read); }
   // Called after each line of changes that is written on a watch, to write more on its connection.
-  void AfterWatchLines(std::function<void(Socket&, const std::string& chunk)> write) {
+  void AfterWatchLines(std::function<void(Socket&, const std::string& chunk)> after_line) {
     const std::lock_guard lock(mutex_);
-    after_watch_lines_ = std::move(write);
+    after_watch_lines_ = std::move(after_line);
   }
   // The next `posts` posts of notices are read but neither recorded nor answered.
   void IgnoreNotices(int posts) { ignored_notices_ = posts; }
--- a/tests/resp_server_test.cpp
+++ b/tests/resp_server_test.cpp
@@ -1,5 +1,5 @@
-// The clients' server against bare sockets, in one thread: what a client does between two steps of the loop
-// has happened by the next.
+// The server for clients against plain sockets, in one thread: whatever a client does between two passes of
+// the loop is visible in the next pass.
 #include "net/resp_server.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,8 @@
     const std::string at = server.address();
     return Socket::Connect(std::stoi(at.substr(at.find(':') + 1)));
   }
-  std::string ReadAfterSteps(const Socket& socket) {
+  // Runs the loop until `socket` gets bytes; "ended" if it is closed, "nothing" after a second.
+  std::string RunLoopUntilRead(const Socket& socket) {
     char bytes[256];
     for (int step = 0; step < 1000; ++step) {
       uv_run(loop.raw(), UV_RUN_NOWAIT);
@@ -43,50 +44,50 @@
   void Did(Action) override {}
 };
 
-// Closing a listener resets what it had not accepted: a client whose request is under way would lose it.
-TEST_F(RespServerTest, WhoConnectedBeforeTheListenerClosedIsServed) {
+// Closing a listener resets the connections in its queue: a client that has sent a request would lose it.
+TEST_F(RespServerTest, ClientsThatConnectedBeforeTheListenerClosedAreServed) {
   ASSERT_EQ(server.Listen("127.0.0.1:0"), 0);
   std::vector<Socket> clients;
   for (int i = 0; i < 5; ++i) {
     clients.push_back(Connect());
     ASSERT_TRUE(clients.back().Write("*1\r\n$4\r\nPING\r\n"));
   }
-  server.StopListening();  // the loop has not turned since
-  for (const Socket& client : clients) EXPECT_EQ(ReadAfterSteps(client), "+PONG\r\n");
+  server.StopListening();  // no loop pass since the clients connected
+  for (const Socket& client : clients) EXPECT_EQ(RunLoopUntilRead(client), "+PONG\r\n");
   EXPECT_EQ(server.connections(), clients.size());
 }
 
-// A client whose next command crosses the node's leaving finds its last reply and an orderly end. Closed at
-// once, the crossing bytes turned the end into a reset.
-TEST_F(RespServerTest, WhoSendsAsTheNodeLeavesFindsAnOrderlyEnd) {
+// A client that sends a command while the node shuts down gets its last reply and an orderly close. When the
+// connection was closed fully at once, the command caused a reset.
+TEST_F(RespServerTest, AClientThatSendsDuringShutdownGetsAnOrderlyClose) {
   ASSERT_EQ(server.Listen("127.0.0.1:0"), 0);
   const Socket client = Connect();
   ASSERT_TRUE(client.Write("*1\r\n$4\r\nPING\r\n"));
-  ASSERT_EQ(ReadAfterSteps(client), "+PONG\r\n");
+  ASSERT_EQ(RunLoopUntilRead(client), "+PONG\r\n");
   EXPECT_FALSE(server.DisconnectIdle(false));
-  ASSERT_TRUE(client.Write("*1\r\n$4\r\nPING\r\n"));  // before the close is done
+  ASSERT_TRUE(client.Write("*1\r\n$4\r\nPING\r\n"));  // before the close is complete
   for (int step = 0; step < 5; ++step) uv_run(loop.raw(), UV_RUN_NOWAIT);
   std::this_thread::sleep_for(std::chrono::milliseconds(20));
   char byte = 0;
   EXPECT_EQ(recv(client.get(), &byte, 1, MSG_DONTWAIT), 0);
-  EXPECT_EQ(send(client.get(), "x", 1, MSG_NOSIGNAL), 1);  // nor has it been reset since
+  EXPECT_EQ(send(client.get(), "x", 1, MSG_NOSIGNAL), 1);  // not reset either
   for (int step = 0; step < 400 && server.connections() > 0; ++step) {
     uv_run(loop.raw(), UV_RUN_NOWAIT);
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
   }
-  EXPECT_EQ(server.connections(), 0u);  // it does not wait for the client for ever
+  EXPECT_EQ(server.connections(), 0u);  // the server does not wait for the client indefinitely
 }
 
-// Once the node leaves, a connection ends with its next reply: nothing can be sent on it that is not read.
-TEST_F(RespServerTest, ALeavingNodeEndsAConnectionWithItsNextReply) {
+// During shutdown a connection is closed after its next reply, so that no command on it stays unread.
+TEST_F(RespServerTest, DuringShutdownAConnectionIsClosedAfterItsNextReply) {
   ASSERT_EQ(server.Listen("127.0.0.1:0"), 0);
   const Socket busy = Connect();
   ASSERT_TRUE(busy.Write("*1\r\n$4\r\n"));  // in the middle of a command
   for (int step = 0; step < 5; ++step) uv_run(loop.raw(), UV_RUN_NOWAIT);
   EXPECT_FALSE(server.DisconnectIdle(true));
   ASSERT_TRUE(busy.Write("PING\r\n"));
-  EXPECT_EQ(ReadAfterSteps(busy), "+PONG\r\n");
-  EXPECT_EQ(ReadAfterSteps(busy), "ended");
+  EXPECT_EQ(RunLoopUntilRead(busy), "+PONG\r\n");
+  EXPECT_EQ(RunLoopUntilRead(busy), "ended");
 }
 
 }  // namespace
