--- a/tests/changes.h
+++ b/tests/changes.h
@@ -1,4 +1,5 @@
-// Changes of the configuration at the built program, in a test's hands: the control socket and the files.
+// Test support for configuration changes of the built program: a client of the control socket, and a fixture
+// that writes operator files (TOML) and queries the running configuration.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,26 +13,29 @@
 
 using Json = nlohmann::json;
 
-// Asks the control socket as any program would.
+// A client of a node's control socket. Owns its connection.
 class ControlStandIn {
  public:
   static sockaddr_un AddressOf(const NodeProcess& node) {
-    sockaddr_un at{};
-    at.sun_family = AF_UNIX;
+    sockaddr_un address{};
+    address.sun_family = AF_UNIX;
     const std::string path = node.folder + "/state/control.sock";
-    std::copy(path.begin(), path.end(), at.sun_path);
-    return at;
+    std::copy(path.begin(), path.end(), address.sun_path);
+    return address;
   }
 
   explicit ControlStandIn(const NodeProcess& node) {
-    const sockaddr_un at = AddressOf(node);
+    const sockaddr_un address = AddressOf(node);
     const int descriptor = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
     socket_ = Socket(descriptor);
-    if (connect(descriptor, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) socket_.Close();
+    if (connect(descriptor, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
+      socket_.Close();
   }
   Socket& socket() { return socket_; }
-  Json Ask(const Json& request) { return AskText(request.dump() + "\n"); }
-  Json AskText(const std::string& line) {
+  // Sends one request and returns the answer; null where the connection failed or ended.
+  Json Ask(const Json& request) { return AskLine(request.dump() + "\n"); }
+  // The same with a line of any text, which ends in a newline.
+  Json AskLine(const std::string& line) {
     if (!socket_.Write(line)) return {};
     std::string text;
     while (text.find('\n') == std::string::npos) {
@@ -46,49 +50,57 @@
   Socket socket_;
 };
 
+// A node that is configured by an operator's TOML file, with helpers that apply changes and wait for results.
 class ChangesTest : public NodeTest {
  protected:
   ChangesTest() { node.toml = Toml(); }
 
-  // Values by name replace those of the file.
+  // The text of an operator's file. `values` replaces defaults by name; `more` is appended.
   std::string Toml(const std::map<std::string, std::string>& values = {},
                    const std::string& more = "") const {
-    std::map<std::string, std::string> v = {
+    std::map<std::string, std::string> settings = {
         {"call_slots", "8"}, {"holding_room", "100"}, {"max_attempts", "12"}, {"senders", "1"},
         {"aim", "\"1s\""},   {"trial", "\"1s\""},     {"level", "\"info\""},  {"listen", "\"127.0.0.1:0\""}};
-    for (const auto& [name, value] : values) v[name] = value;
-    return "[node]\nname = \"n0\"\nlisten = " + v["listen"] + "\ndiscovery = \"" + platform.address() +
-           "\"\n[limits]\ndisk = \"3MB\"\n[delivery]\nsenders = " + v["senders"] +
-           "\ncall_slots = " + v["call_slots"] + "\nholding_room = " + v["holding_room"] +
-           "\nmax_attempts = " + v["max_attempts"] +
+    for (const auto& [name, value] : values) settings[name] = value;
+    return "[node]\nname = \"n0\"\nlisten = " + settings["listen"] + "\ndiscovery = \"" + platform.address() +
+           "\"\n[limits]\ndisk = \"3MB\"\n[delivery]\nsenders = " + settings["senders"] +
+           "\ncall_slots = " + settings["call_slots"] + "\nholding_room = " + settings["holding_room"] +
+           "\nmax_attempts = " + settings["max_attempts"] +
            "\nmax_retry_after = \"2s\"\nconnect_timeout = \"1500ms\"\nidle_close = \"15s\"\nzone = \"z\"\n" +
            "[[classes]]\nname = \"keyed\"\neffect = \"keyed\"\ngroup = \"all\"\nkey_ttl = \"60s\"\naim = " +
-           v["aim"] +
+           settings["aim"] +
            "\ndeadline = \"60s\"\nworth = 1\n[[classes]]\nname = \"safe\"\neffect = \"safe\"\naim = "
            "\"1s\"\n" +
            "deadline = \"60s\"\nworth = 1\n[[classes]]\nname = \"unsafe\"\neffect = \"unsafe\"\naim = "
            "\"1s\"\n" +
            "deadline = \"60s\"\nworth = 1\n[[kinds]]\nname = \"m\"\n[[zones]]\nname = \"z\"\n[log]\nlevel "
            "= " +
-           v["level"] + "\n[control]\nsocket = \"control.sock\"\n[change]\ntrial = " + v["trial"] +
+           settings["level"] +
+           "\n[control]\nsocket = \"control.sock\"\n[change]\ntrial = " + settings["trial"] +
            "\nbefore = \"10s\"\n" + more;
   }
+  // Asks the node to apply the document; with `wait`, the answer comes once a running trial has ended.
   Json Apply(const std::string& document, bool wait = false) {
     return ControlStandIn(node).Ask(
         {{"op", "apply"}, {"document", document}, {"author", "test"}, {"wait", wait}});
   }
-  std::string Running() { return ControlStandIn(node).Ask({{"op", "show"}}).dump(); }
-  Json Last() { return ControlStandIn(node).Ask({{"op", "history"}}).at("generations").back(); }
-  bool Becomes(const std::string& result) {
-    return Eventually([&] { return Last().at("result") == result; });
+  // The configuration in force.
+  std::string RunningConfiguration() { return ControlStandIn(node).Ask({{"op", "show"}}).dump(); }
+  // The newest generation of the history.
+  Json LastGeneration() { return ControlStandIn(node).Ask({{"op", "history"}}).at("generations").back(); }
+  // Waits until the newest generation has this result.
+  bool LastResultBecomes(const std::string& result) {
+    return Eventually([&] { return LastGeneration().at("result") == result; });
   }
+  // The value in force at a path, or an empty string.
   std::string Value(const std::string& path) {
     const Json shown = ControlStandIn(node).Ask({{"op", "show"}});
-    for (const Json& one : shown.at("values")) {
-      if (one.at("path") == path) return one.at("value");
+    for (const Json& entry : shown.at("values")) {
+      if (entry.at("path") == path) return entry.at("value");
     }
     return "";
   }
+  // Waits until the node's log contains the text.
   bool Logged(const std::string& text) {
     return Eventually([&] { return node.log().find(text) != std::string::npos; });
   }
--- a/tests/message_rules_test.cpp
+++ b/tests/message_rules_test.cpp
@@ -1,4 +1,4 @@
-// The folder's file `rules`: what it does not say whole binds by the strictest rules.
+// The state folder's file `rules`: where it is incomplete or malformed, the strictest rules apply.
 #include "node/message_rules.h"
 
 #include <gtest/gtest.h>
@@ -16,15 +16,15 @@
 constexpr Micros kStart = seconds(1000);
 constexpr Micros kDeadline = seconds(8);
 
-class RulesFile : public ::testing::Test {
+class RulesFileTest : public ::testing::Test {
  protected:
-  RulesFile() {
+  RulesFileTest() {
     std::string name = (std::filesystem::temp_directory_path() / "indigosaddle-XXXXXX").string();
     folder = mkdtemp(name.data());
   }
-  ~RulesFile() override { std::filesystem::remove_all(folder); }
+  ~RulesFileTest() override { std::filesystem::remove_all(folder); }
 
-  // One class, whose messages may be repeated at will.
+  // A configuration of one class, whose messages may be repeated without limit.
   static Config Safe() {
     Config config;
     config.classes = {{"notice", 0}};
@@ -33,42 +33,44 @@
     config.settings.classes[0].deadline = kDeadline;
     return config;
   }
-  void Put(const std::string& text) const { std::ofstream(folder + "/rules", std::ios::binary) << text; }
-  // What binds a message that was handed in a second after a start on this file.
-  RepeatRules Bound(const std::string& text) const {
-    Put(text);
+  void WriteRules(const std::string& text) const {
+    std::ofstream(folder + "/rules", std::ios::binary) << text;
+  }
+  // The rules that apply to a message enqueued one second after a start with this file.
+  RepeatRules RulesAfterStart(const std::string& text) const {
+    WriteRules(text);
     MessageRules rules(folder);
     rules.Start(Safe(), kStart, true);
-    return Born(rules, kStart + seconds(1));
+    return RulesOfMessageAt(rules, kStart + seconds(1));
   }
-  static RepeatRules Born(const MessageRules& rules, Micros at) {
-    return rules.RulesFor("notice", {at, kDeadline, false, true}).rules;
+  static RepeatRules RulesOfMessageAt(const MessageRules& rules, Micros accepted_at) {
+    return rules.RulesFor("notice", {accepted_at, kDeadline, false, true}).rules;
   }
 
   static constexpr const char* kSafeLine = "0 2 0 0 8000000 9223372036854775807 notice\n";
   std::string folder;
 };
 
-std::string File(const std::string& lines) { return "rules 1\n" + lines + "end\n"; }
+std::string FileText(const std::string& lines) { return "rules 1\n" + lines + "end\n"; }
 
-TEST_F(RulesFile, WhatWasSavedIsReadBack) {
+TEST_F(RulesFileTest, SavedRulesAreReadBack) {
   MessageRules first(folder);
   first.Start(Safe(), kStart, false);
   ASSERT_TRUE(first.Save());
   MessageRules next(folder);
   next.Start(Safe(), kStart, true);
   EXPECT_TRUE(next.known());
-  EXPECT_EQ(Born(next, kStart).effect, Effect::kSafe);
-  EXPECT_EQ(Bound(File(kSafeLine)).effect, Effect::kSafe);
+  EXPECT_EQ(RulesOfMessageAt(next, kStart).effect, Effect::kSafe);
+  EXPECT_EQ(RulesAfterStart(FileText(kSafeLine)).effect, Effect::kSafe);
 }
 
-// A line that is read in part, or of another class, says nothing of the rules before: taken for a whole one
-// it lets a message be repeated that was born under rules that forbid it.
-TEST_F(RulesFile, AnOddLineMeansTheStrictest) {
+// Guards against a malformed line, or one of another class, that is taken for a complete one: a message would
+// be repeated although the rules in force when it was accepted forbid it.
+TEST_F(RulesFileTest, MalformedLineMeansTheStrictestRules) {
   for (const char* line : {
            "\n",
            "0 2 0 0 8000000 9223372036854775807\n",          // no name
-           "0 2 0 0 8000000 9223372036854775807x notice\n",  // the name is cut off from its number
+           "0 2 0 0 8000000 9223372036854775807x notice\n",  // no separator between the number and the name
            "0 2 0 0 8000000 9223372036854775807 \n",
            "0  2 0 0 8000000 9223372036854775807 notice\n",
            "0 2 0 0 8000000 +9223372036854775807 notice\n",
@@ -82,41 +84,43 @@
            "0 3 0 0 8000000 9223372036854775807 notice\n",
            "0 2 0 0 8000000 99999999999999999999 notice\n",
        }) {
-    EXPECT_EQ(Bound(File(line)), kStrictestRules) << line;
-    EXPECT_EQ(Bound(File(std::string(kSafeLine) + line)), kStrictestRules) << line;
+    EXPECT_EQ(RulesAfterStart(FileText(line)), kStrictestRules) << line;
+    EXPECT_EQ(RulesAfterStart(FileText(std::string(kSafeLine) + line)), kStrictestRules) << line;
   }
 }
 
-// Every file that a process writes says what is in force: one that names no class, or a class in force twice,
-// is not whole.
-TEST_F(RulesFile, AFileThatSaysNothingOrTooMuchMeansTheStrictest) {
-  EXPECT_EQ(Bound(File("")), kStrictestRules);
-  EXPECT_EQ(Bound(File("0 2 0 0 8000000 999000000 notice\n")), kStrictestRules) << "nothing in force";
-  EXPECT_EQ(Bound(File(std::string(kSafeLine) + kSafeLine)), kStrictestRules);
-  EXPECT_EQ(Bound(File(kSafeLine) + "2 2 0 0 8000000 999500000 notice\nend\n"), kStrictestRules);
-  EXPECT_EQ(Bound("rules 2\n" + std::string(kSafeLine) + "end\n"), kStrictestRules);
+// Each file that a process writes names the rules in force of each class: a file that names no class, or
+// names a class in force twice, is incomplete.
+TEST_F(RulesFileTest, EmptyOrContradictoryFileMeansTheStrictestRules) {
+  EXPECT_EQ(RulesAfterStart(FileText("")), kStrictestRules);
+  EXPECT_EQ(RulesAfterStart(FileText("0 2 0 0 8000000 999000000 notice\n")), kStrictestRules)
+      << "nothing in force";
+  EXPECT_EQ(RulesAfterStart(FileText(std::string(kSafeLine) + kSafeLine)), kStrictestRules);
+  EXPECT_EQ(RulesAfterStart(FileText(kSafeLine) + "2 2 0 0 8000000 999500000 notice\nend\n"),
+            kStrictestRules);
+  EXPECT_EQ(RulesAfterStart("rules 2\n" + std::string(kSafeLine) + "end\n"), kStrictestRules);
 }
 
-TEST_F(RulesFile, CutAtAnyByteItMeansTheStrictest) {
-  const std::string whole = File(kSafeLine);
+TEST_F(RulesFileTest, FileTruncatedAtAnyByteMeansTheStrictestRules) {
+  const std::string whole = FileText(kSafeLine);
   for (std::size_t size = 0; size + 1 < whole.size(); ++size)
-    EXPECT_EQ(Bound(whole.substr(0, size)), kStrictestRules) << size;
+    EXPECT_EQ(RulesAfterStart(whole.substr(0, size)), kStrictestRules) << size;
 }
 
-// The process before this one may have changed its rules until its end: where its file can't be read by then,
-// what was born meanwhile may be bound by any.
-TEST_F(RulesFile, ASuccessorThatFindsNoHistoryTakesTheStrictestForAWhile) {
+// The predecessor may have changed its rules until its end: where its file cannot be read by then, any rules
+// may apply to the messages that it accepted meanwhile.
+TEST_F(RulesFileTest, SuccessorWithoutHistoryAppliesTheStrictestRulesForAWhile) {
   for (const bool damaged : {false, true}) {
-    Put(File(kSafeLine));
+    WriteRules(FileText(kSafeLine));
     MessageRules successor(folder);
     successor.Start(Safe(), kStart, true);
-    ASSERT_EQ(Born(successor, kStart + seconds(1)).effect, Effect::kSafe);
+    ASSERT_EQ(RulesOfMessageAt(successor, kStart + seconds(1)).effect, Effect::kSafe);
     std::filesystem::remove(folder + "/rules");
-    if (damaged) Put("rules 1\n2 2 0 0 80");
+    if (damaged) WriteRules("rules 1\n2 2 0 0 80");
     successor.TakeOver(kStart + seconds(2));
     EXPECT_FALSE(successor.known());
-    EXPECT_EQ(Born(successor, kStart + seconds(3)), kStrictestRules) << damaged;
-    EXPECT_EQ(Born(successor, kStart + seconds(6)).effect, Effect::kSafe) << damaged;
+    EXPECT_EQ(RulesOfMessageAt(successor, kStart + seconds(3)), kStrictestRules) << damaged;
+    EXPECT_EQ(RulesOfMessageAt(successor, kStart + seconds(6)).effect, Effect::kSafe) << damaged;
   }
 }
 
--- a/tests/operators_calls.h
+++ b/tests/operators_calls.h
@@ -1,4 +1,4 @@
-// Calls to the built node's operators' address.
+// Requests to the built node's operators' address (HTTP).
 #pragma once
 
 #include <string>
@@ -8,14 +8,15 @@
 
 namespace indigosaddle::testing {
 
-// A port that nobody listens on now.
+// A port on which no process listens at the time of the call.
 inline int FreePort() {
   int port = 0;
   Socket::Listen(port);
   return port;
 }
 
-// One call on a connection of its own: the status, and the body after the head.
+// Sends one request on a connection of its own and returns the status and the body. The status is 0 where the
+// connection failed or the answer has no complete head.
 inline std::pair<int, std::string> Call(int port, const std::string& method, const std::string& path) {
   Socket socket = Socket::Connect(port);
   if (!socket.open() ||
