--- a/tests/node_drains_test.cpp
+++ b/tests/node_drains_test.cpp
@@ -1,5 +1,5 @@
-// Changes of the list at the built node: what binds from the first moment of a process, behind a move of
-// discovery, behind refusals, and each form that a change comes in.
+// Changes of the endpoint list at the built node: which list applies from the start of a process, after a
+// move of discovery and after rejected requests, and each form in which a change arrives.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -15,75 +15,75 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr milliseconds kGrace(250), kSlack(50);
+constexpr milliseconds kGrace(250), kTolerance(50);
 
-std::string ListLine(int version, bool whole, const Json& hosts) {
-  return Json{{"seq", version}, {"whole", whole}, {"hosts", hosts}}.dump() + "\n";
+std::string EndpointListLine(int version, bool complete, const Json& hosts) {
+  return Json{{"seq", version}, {"whole", complete}, {"hosts", hosts}}.dump() + "\n";
 }
-std::string WholeAnswer(int version, const Json& hosts) {
-  const std::string list = ListLine(version, true, hosts);
+std::string CompleteListAnswer(int version, const Json& hosts) {
+  const std::string list = EndpointListLine(version, true, hosts);
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list;
 }
 
-class Drains : public NodeTest {
+class EndpointDrains : public NodeTest {
  protected:
-  Drains() { node.config["settings"]["guarantees"]["drainGrace"] = 250.0; }
+  EndpointDrains() { node.config["settings"]["guarantees"]["drainGrace"] = 250.0; }
 
-  Json Drained() { return PlatformStandIn::Member("s-1", endpoint.address(), 7, "Terminating"); }
-  void Feed(milliseconds span, milliseconds pause) {
+  Json DrainingMember() { return PlatformStandIn::Member("s-1", endpoint.address(), 7, "Terminating"); }
+  void EnqueueRepeatedly(milliseconds span, milliseconds pause) {
     const auto end = Clock::now() + span;
     while (Clock::now() < end) {
-      Enqueue("m" + std::to_string(++fed_), "c=safe,d=60000,dest=7");
+      Enqueue("m" + std::to_string(++enqueued_), "c=safe,d=60000,dest=7");
       std::this_thread::sleep_for(pause);
     }
   }
-  // No call later than the grace behind the instant from which the drain counts as told.
-  void ExpectNoneBehind(Clock::time_point told) {
+  // Expects no call later than the grace after the instant from which the drain counts as reported.
+  void ExpectNoCallsAfterGrace(Clock::time_point reported_at) {
     const std::lock_guard lock(mutex_);
-    for (const Clock::time_point at : calls_) {
-      const auto late = std::chrono::duration_cast<milliseconds>(at - told);
-      EXPECT_LE(late, kGrace + kSlack) << "a call to a draining endpoint";
+    for (const Clock::time_point call_time : call_times_) {
+      const auto elapsed = std::chrono::duration_cast<milliseconds>(call_time - reported_at);
+      EXPECT_LE(elapsed, kGrace + kTolerance) << "a call to a draining endpoint";
     }
   }
-  std::size_t Calls() {
+  std::size_t CallCount() {
     const std::lock_guard lock(mutex_);
-    return calls_.size();
+    return call_times_.size();
   }
 
   std::mutex mutex_;
-  std::vector<Clock::time_point> calls_;
+  std::vector<Clock::time_point> call_times_;
   EndpointStandIn endpoint{[this](Socket& s, const HttpRequest&, int) {
     {
       const std::lock_guard lock(mutex_);
-      calls_.push_back(Clock::now());
+      call_times_.push_back(Clock::now());
     }
     return s.Write(Answer(200));
   }};
-  int fed_ = 0;
+  int enqueued_ = 0;
 };
 
-// Guards against calls by the kept list while the agent has told of a drain: it binds from the start.
-TEST_F(Drains, WhatTheAgentHasBindsFromTheFirstMomentOfAProcess) {
+// Guards against calls by the stored list while discovery reports a drain: its list applies from the start.
+TEST_F(EndpointDrains, DiscoverysListAppliesFromTheStartOfAProcess) {
   ASSERT_TRUE(node.Start());
-  ASSERT_EQ(Enqueue("owed", "c=unsafe,d=60000,dest=7"), "+OK");  // nothing is listed yet
+  ASSERT_EQ(Enqueue("owed", "c=unsafe,d=60000,dest=7"), "+OK");  // no endpoint is listed yet
   node.Kill(SIGKILL);
   node.config["known"] = {{"seq", 1},
                           {"whole", true},
                           {"hosts", Json::array({PlatformStandIn::Member("s-1", endpoint.address(), 7)})}};
-  platform.Set(Drained());
-  const auto began = Clock::now();
+  platform.Set(DrainingMember());
+  const auto started_at = Clock::now();
   ASSERT_TRUE(node.Start());
-  Feed(milliseconds(1500), milliseconds(20));
-  ExpectNoneBehind(began);
+  EnqueueRepeatedly(milliseconds(1500), milliseconds(20));
+  ExpectNoCallsAfterGrace(started_at);
 }
 
-// Guards against calls to an endpoint that is gone, told by a change alone.
-TEST_F(Drains, AnEndpointThatIsGoneGetsNothing) {
+// Guards against calls to an endpoint that is gone, where only an incremental change reports it.
+TEST_F(EndpointDrains, RemovedEndpointGetsNoCalls) {
   EndpointStandIn other;
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ASSERT_TRUE(node.Start());
   ASSERT_TRUE(EnqueueOnceListed("before", "c=safe,d=60000,dest=7"));
-  ASSERT_TRUE(Eventually([&] { return Calls() == 1; }));
+  ASSERT_TRUE(Eventually([&] { return CallCount() == 1; }));
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7, "Gone"));
   platform.Set(PlatformStandIn::Member("s-3", other.address(), 9));
   ASSERT_TRUE(EnqueueOnceListed("told", "c=safe,d=60000,dest=9"));
@@ -92,24 +92,24 @@
   EXPECT_EQ(endpoint.CallsFor("after"), 0);
 }
 
-// Guards against calls to what a whole list in a watch no longer holds.
-TEST_F(Drains, AWholeListInAWatchReplacesTheOldOne) {
+// Guards against calls to an endpoint that a complete list in a watch no longer contains.
+TEST_F(EndpointDrains, CompleteListInAWatchReplacesTheOldOne) {
   EndpointStandIn other;
-  std::atomic<bool> told{false};
+  std::atomic<bool> second_list_due{false};
   const Json first = Json::array({PlatformStandIn::Member("s-1", endpoint.address(), 7)});
   const Json second = Json::array({PlatformStandIn::Member("s-3", other.address(), 9)});
   HttpServer discovery([&](Socket& socket, const HttpRequest& request) {
-    if (request.line.find("watch=1") == std::string::npos) return socket.Write(WholeAnswer(41, first));
-    socket.Write(kWatchHead + Chunk(ListLine(42, false, Json::array())));
-    while (!told && socket.Write(Chunk("\n"))) std::this_thread::sleep_for(milliseconds(50));
-    socket.Write(Chunk(ListLine(50, true, second)));
+    if (request.line.find("watch=1") == std::string::npos) return socket.Write(CompleteListAnswer(41, first));
+    socket.Write(kWatchHead + Chunk(EndpointListLine(42, false, Json::array())));
+    while (!second_list_due && socket.Write(Chunk("\n"))) std::this_thread::sleep_for(milliseconds(50));
+    socket.Write(Chunk(EndpointListLine(50, true, second)));
     return Hang(socket);
   });
   node.config["discovery"] = discovery.address();
   ASSERT_TRUE(node.Start());
   ASSERT_TRUE(EnqueueOnceListed("before", "c=safe,d=60000,dest=7"));
-  ASSERT_TRUE(Eventually([&] { return Calls() == 1; }));
-  told = true;
+  ASSERT_TRUE(Eventually([&] { return CallCount() == 1; }));
+  second_list_due = true;
   ASSERT_TRUE(EnqueueOnceListed("news", "c=safe,d=60000,dest=9"));
   Enqueue("after", "c=unsafe,d=400,dest=7");
   std::this_thread::sleep_for(milliseconds(800));
@@ -117,65 +117,66 @@
   node.Kill(SIGKILL);
 }
 
-// Guards against calls by the old address's list: the new one hangs once, and has told of a drain by 4 s.
-TEST_F(Drains, AMoveOfDiscoveryBindsWithinFourSecondsThoughItsFirstRequestHangs) {
+// Guards against calls by the list of discovery's old address: the new address hangs on the first request,
+// and the drain that it reports counts after 4 s.
+TEST_F(EndpointDrains, MoveOfDiscoveryTakesEffectWithinFourSecondsThoughTheFirstRequestHangs) {
   std::atomic<int> requests{0};
-  HttpServer next([&](Socket& socket, const HttpRequest& request) {
+  HttpServer new_discovery([&](Socket& socket, const HttpRequest& request) {
     if (++requests == 1) return Hang(socket);
     if (request.line.find("watch=1") == std::string::npos)
-      return socket.Write(WholeAnswer(50, Json::array({Drained()})));
-    socket.Write(kWatchHead + Chunk(ListLine(50, false, Json::array({Drained()}))));
+      return socket.Write(CompleteListAnswer(50, Json::array({DrainingMember()})));
+    socket.Write(kWatchHead + Chunk(EndpointListLine(50, false, Json::array({DrainingMember()}))));
     while (socket.Write(Chunk("\n"))) std::this_thread::sleep_for(milliseconds(500));
     return false;
   });
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ASSERT_TRUE(node.Start());
   ASSERT_TRUE(EnqueueOnceListed("before", "c=safe,d=60000,dest=7"));
-  node.config["discovery"] = next.address();
+  node.config["discovery"] = new_discovery.address();
   node.WriteConfig(node.config.dump());
   node.Signal(SIGHUP);
-  const auto moved = Clock::now();
-  Feed(seconds(6), milliseconds(50));
-  EXPECT_GT(Calls(), 1U);
-  ExpectNoneBehind(moved + seconds(4));
+  const auto moved_at = Clock::now();
+  EnqueueRepeatedly(seconds(6), milliseconds(50));
+  EXPECT_GT(CallCount(), 1U);
+  ExpectNoCallsAfterGrace(moved_at + seconds(4));
   node.Kill(SIGKILL);
 }
 
-// Guards against calls by a list that is 6 s old, since each request for a newer one was refused.
-TEST_F(Drains, WhatRefusalsHideCountsAsToldSixSecondsLater) {
+// Guards against calls by a list that is 6 s old because each request for a newer one was rejected.
+TEST_F(EndpointDrains, DrainHiddenByRejectedRequestsCountsSixSecondsLater) {
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ASSERT_TRUE(node.Start());
   ASSERT_TRUE(EnqueueOnceListed("before", "c=safe,d=60000,dest=7"));
   platform.RefuseLists(503);
   platform.EndWatches();
   std::this_thread::sleep_for(milliseconds(600));
-  platform.Set(Drained());
-  const auto changed = Clock::now();
-  Feed(seconds(9), milliseconds(100));
-  EXPECT_GT(Calls(), 5U);  // the old list serves meanwhile
+  platform.Set(DrainingMember());
+  const auto changed_at = Clock::now();
+  EnqueueRepeatedly(seconds(9), milliseconds(100));
+  EXPECT_GT(CallCount(), 5U);  // the old list is used meanwhile
   EXPECT_GT(platform.refused_lists(), 1);
-  ExpectNoneBehind(changed + seconds(6));
+  ExpectNoCallsAfterGrace(changed_at + seconds(6));
 }
 
-// Guards against calls decided before a drain was read, by a process that is held up for 0.15 s: the grace
-// covers that and no more.
-TEST_F(Drains, HeldUpAsADrainComesItsCallsStayWithinTheGrace) {
+// Guards against calls decided before a drain was read by a process that stalls for 0.15 s: the grace covers
+// that delay and no more.
+TEST_F(EndpointDrains, CallsStayWithinTheGraceWhenAStallCoincidesWithADrain) {
   ASSERT_TRUE(node.Start());
   for (int round = 0; round < 5; ++round) {
     platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
     ASSERT_TRUE(
         Eventually([&] { return Enqueue("r" + std::to_string(round), "c=safe,d=60000,dest=7") == "+OK"; }));
-    std::thread client([&] { Feed(milliseconds(900), milliseconds(3)); });
+    std::thread client([&] { EnqueueRepeatedly(milliseconds(900), milliseconds(3)); });
     std::this_thread::sleep_for(milliseconds(300));
     node.Signal(SIGSTOP);
-    platform.Set(Drained());
-    const auto told = Clock::now();
+    platform.Set(DrainingMember());
+    const auto reported_at = Clock::now();
     std::this_thread::sleep_for(milliseconds(150));
     node.Signal(SIGCONT);
     client.join();
-    ExpectNoneBehind(told);
+    ExpectNoCallsAfterGrace(reported_at);
     const std::lock_guard lock(mutex_);
-    calls_.clear();
+    call_times_.clear();
   }
 }
 
--- a/tests/node_endings_test.cpp
+++ b/tests/node_endings_test.cpp
@@ -1,5 +1,5 @@
-// Endings at the built node, each ordered by what was seen: a byte read, a record on the disk, a state
-// reached (docs/design/005).
+// Results of messages at the built node. Each test waits for an observed event before its next step: a byte
+// read, a record on the disk, a state reached (docs/design/005).
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -13,18 +13,18 @@
 using Json = nlohmann::json;
 using std::chrono::milliseconds;
 
-// A listener whose queue is full: connections to it do not come up.
-class NeverUp {
+// A listener whose accept queue is full, so that connections to it are not established.
+class UnacceptingListener {
  public:
-  NeverUp() : listener_(Socket::Listen(port_)) {
+  UnacceptingListener() : listener_(Socket::Listen(port_)) {
     listen(listener_.get(), 0);
-    sockaddr_in to{};
-    to.sin_family = AF_INET;
-    to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    to.sin_port = htons(static_cast<std::uint16_t>(port_));
+    sockaddr_in loopback{};
+    loopback.sin_family = AF_INET;
+    loopback.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    loopback.sin_port = htons(static_cast<std::uint16_t>(port_));
     for (int i = 0; i < 4; ++i) {
-      waiting_.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-      connect(waiting_.back().get(), reinterpret_cast<sockaddr*>(&to), sizeof to);
+      pending_connections_.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+      connect(pending_connections_.back().get(), reinterpret_cast<sockaddr*>(&loopback), sizeof loopback);
     }
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
@@ -32,10 +32,10 @@
  private:
   int port_ = 0;
   Socket listener_;
-  std::vector<Socket> waiting_;
+  std::vector<Socket> pending_connections_;
 };
 
-class NodeEndings : public NodeTest {
+class MessageResults : public NodeTest {
  protected:
   bool JournalHas(const std::string& text) {
     return Eventually([&] {
@@ -51,21 +51,23 @@
     ordered["sequential"] = true;
     node.config["settings"]["classes"].push_back(ordered);
   }
-  static std::string Ordered(const std::string& id, const std::string& key, const std::string& names) {
-    return ClientStandIn::Command({"ENQUEUE", key, id, names, "body"});
+  static std::string OrderedCommand(const std::string& id, const std::string& key,
+                                    const std::string& fields) {
+    return ClientStandIn::Command({"ENQUEUE", key, id, fields, "body"});
   }
 };
 
-// Killed while a call waits for its connection: nothing of it has left, so that even an unsafe message is
-// tried by the next process. Its attempt was on record as one that may have run, and it was failed untried.
-TEST_F(NodeEndings, KilledBeforeItsConnectionWasUpAnUnsafeMessageIsStillTried) {
-  const NeverUp never;
+// The process is killed while a call waits for its connection: no byte has been sent, so that the next
+// process tries even an unsafe message. Guards against a recorded attempt that counts as one that may have
+// run, so that the message fails without having been tried.
+TEST_F(MessageResults, UnsafeMessageIsTriedAfterAKillBeforeItsConnectionWasUp) {
+  const UnacceptingListener listener;
   EndpointStandIn endpoint;
-  platform.Set(PlatformStandIn::Member("not-up-yet", never.address(), 7));
+  platform.Set(PlatformStandIn::Member("not-up-yet", listener.address(), 7));
   node.config["settings"]["caps"]["dialTimeout"] = 60000.0;
   ASSERT_TRUE(node.Start());
   ASSERT_TRUE(EnqueueOnceListed("m", "c=unsafe,d=60000,dest=7"));
-  ASSERT_TRUE(JournalHas("not-up-yet"));  // the call is decided and on record
+  ASSERT_TRUE(JournalHas("not-up-yet"));  // the call is decided and recorded
   node.Kill(SIGKILL);
   platform.Set(PlatformStandIn::Member("not-up-yet", endpoint.address(), 7));
   ASSERT_TRUE(node.Start());
@@ -73,8 +75,8 @@
   EXPECT_TRUE(platform.notices().empty());
 }
 
-// And the other way round: once a byte of it may have left it may have run, and is not sent again.
-TEST_F(NodeEndings, KilledWithItsCallWrittenAnUnsafeMessageIsFailed) {
+// The opposite case: once a byte of the call may have been sent, the call may have run and is not repeated.
+TEST_F(MessageResults, UnsafeMessageFailsAfterAKillWithItsCallWritten) {
   EndpointStandIn endpoint([](Socket& s, const HttpRequest&, int) { return Hang(s); });
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ASSERT_TRUE(node.Start());
@@ -86,30 +88,31 @@
   EXPECT_EQ(endpoint.CallsFor("m"), 1);
 }
 
-// A notice whose connection says nothing is told on another one while it is still in time: 300 ms after the
-// message's time it is lost. It was asked for once a second.
-TEST_F(NodeEndings, ANoticeThatIsNotAnsweredIsToldAgainSoon) {
+// A notice that is not answered is repeated on another connection while it is still in time: 300 ms after the
+// message's deadline it is lost. Guards against repeats that come only once a second.
+TEST_F(MessageResults, UnansweredNoticeIsRepeatedSoon) {
   EndpointStandIn endpoint([](Socket& s, const HttpRequest&, int) { return Hang(s); });
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ASSERT_TRUE(node.Start());
   platform.IgnoreNotices(1);
   ASSERT_TRUE(EnqueueOnceListed("m", "c=unsafe,d=300,dest=7"));
   ASSERT_TRUE(Eventually([&] { return platform.notice_posts() == 1; }));
-  const auto ignored = Clock::now();
+  const auto ignored_at = Clock::now();
   ASSERT_TRUE(Eventually([&] { return HasNotice("m", "failed"); }));
-  EXPECT_LT(Clock::now() - ignored, milliseconds(800));  // 120 ms, with room for a slow machine
+  EXPECT_LT(Clock::now() - ignored_at, milliseconds(800));  // 120 ms, with tolerance for a slow machine
 }
 
-// A 200 in the last moment of a message's time: by its client's clock it may have come too late, so the
-// platform is told an end as well. With nothing told, such a message was lost.
-TEST_F(NodeEndings, ADeliveryInTheLastMomentIsToldAsWell) {
+// A 200 just before a message's deadline may be too late by its client's clock, so that the platform gets a
+// notice as well. Without one, such a message was lost.
+TEST_F(MessageResults, DeliveryJustBeforeTheDeadlineAlsoSendsANotice) {
   EndpointStandIn endpoint([](Socket& s, const HttpRequest&, int) {
-    std::this_thread::sleep_for(milliseconds(975));  // of 1,000
+    std::this_thread::sleep_for(milliseconds(975));  // of a deadline of 1,000 ms
     return s.Write(Answer(200));
   });
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ListSettler();
-  node.config["settings"]["classes"][2]["aim"] = 2000.0;  // its time-out is what is left of its time
+  // The attempt timeout is the time left until the deadline.
+  node.config["settings"]["classes"][2]["aim"] = 2000.0;
   ASSERT_TRUE(node.Start());
   Settle();
   ASSERT_EQ(Enqueue("m", "c=unsafe,d=1000,dest=7"), "+OK");
@@ -117,19 +120,20 @@
   EXPECT_EQ(endpoint.CallsFor("m"), 1);
 }
 
-// A message's time runs from its client's sending: of a command that comes slowly, from its first byte.
-TEST_F(NodeEndings, ACommandsTimeRunsFromItsFirstByte) {
+// A message's deadline counts from the time its client sends it: for a command that arrives slowly, from the
+// first byte.
+TEST_F(MessageResults, DeadlineRunsFromTheFirstByteOfTheCommand) {
   ASSERT_TRUE(node.Start());
   const std::string command = ClientStandIn::Enqueue("m", "c=safe,d=300,dest=7");
   ClientStandIn client(node.port);
   ASSERT_TRUE(client.Write(command.substr(0, 5)));
   std::this_thread::sleep_for(milliseconds(400));
-  EXPECT_TRUE(client.Ask(command.substr(5)).starts_with("-BUSY"));  // its time is over
+  EXPECT_TRUE(client.Ask(command.substr(5)).starts_with("-BUSY"));  // its deadline has passed
 }
 
-// The key of the order is the command's first word. What is behind it in its key waits until the end before
-// it has been told to the platform, not only decided.
-TEST_F(NodeEndings, AKeysNextMessageWaitsForTheNoticeBeforeIt) {
+// The order key is the command's first argument. The next message of a key waits until the platform has been
+// notified of the previous result, not only until the result is decided.
+TEST_F(MessageResults, NextMessageOfAnOrderKeyWaitsForThePreviousNotice) {
   std::atomic<bool> hang{true};
   EndpointStandIn endpoint(
       [&](Socket& s, const HttpRequest&, int) { return hang ? Hang(s) : s.Write(Answer(200)); });
@@ -141,11 +145,12 @@
   Settle();
   platform.RefuseNotices(503);
   ClientStandIn client(node.port);
-  ASSERT_EQ(client.Ask(Ordered("first", "00aa", "c=ordered,k=a,d=500,dest=1")), "+OK");
-  ASSERT_EQ(client.Ask(Ordered("second", "00aa", "c=ordered,k=b,d=60000,dest=2")), "+OK");
+  ASSERT_EQ(client.Ask(OrderedCommand("first", "00aa", "c=ordered,k=a,d=500,dest=1")), "+OK");
+  ASSERT_EQ(client.Ask(OrderedCommand("second", "00aa", "c=ordered,k=b,d=60000,dest=2")), "+OK");
   ASSERT_TRUE(Eventually([&] { return endpoint.CallsFor("first") == 1; }));
   hang = false;
-  ASSERT_TRUE(Eventually([&] { return platform.notice_posts() >= 3; }));  // ended, and not told yet
+  // The first message has a result that the platform has not accepted yet.
+  ASSERT_TRUE(Eventually([&] { return platform.notice_posts() >= 3; }));
   Settle("later");
   EXPECT_EQ(endpoint.CallsFor("second"), 0);
   platform.RefuseNotices(204);
@@ -153,8 +158,8 @@
   EXPECT_TRUE(HasNotice("first", "returned"));
 }
 
-// A key of zeros is none.
-TEST_F(NodeEndings, ZerosAreNoKey) {
+// An order key of zeros means that the message has none, so that messages do not wait for each other.
+TEST_F(MessageResults, OrderKeyOfZerosMeansNoKey) {
   EndpointStandIn endpoint([](Socket& s, const HttpRequest& r, int) {
     return r.headers.at("x-trace-id") == "first" ? Hang(s) : s.Write(Answer(200));
   });
@@ -165,22 +170,23 @@
   ASSERT_TRUE(node.Start());
   Settle();
   ClientStandIn client(node.port);
-  ASSERT_EQ(client.Ask(Ordered("first", "0000000000000000", "c=ordered,k=a,d=60000,dest=1")), "+OK");
-  ASSERT_EQ(client.Ask(Ordered("second", "0000000000000000", "c=ordered,k=b,d=60000,dest=2")), "+OK");
+  ASSERT_EQ(client.Ask(OrderedCommand("first", "0000000000000000", "c=ordered,k=a,d=60000,dest=1")), "+OK");
+  ASSERT_EQ(client.Ask(OrderedCommand("second", "0000000000000000", "c=ordered,k=b,d=60000,dest=2")), "+OK");
   EXPECT_TRUE(Eventually([&] { return endpoint.CallsFor("second") == 1; }));
 }
 
-// Idle clients take every place while discovery is down, at a process that has far fewer descriptors than its
-// configuration says. The list, calls and notices have theirs all the same.
-TEST_F(NodeEndings, IdleClientsTakeNoDescriptorFromTheListNorFromCalls) {
+// Idle clients use all client connections while discovery is down, in a process that has far fewer file
+// descriptors than its configuration says. The endpoint list, calls and notices still get theirs.
+TEST_F(MessageResults, IdleClientsLeaveDescriptorsForDiscoveryAndCalls) {
   EndpointStandIn endpoint, hung([](Socket&s, const HttpRequest&, int) { return Hang(s); });
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   platform.Set(PlatformStandIn::Member("s-2", hung.address(), 8));
   platform.Down(true);
   ASSERT_TRUE(node.Start(100));
-  std::vector<Socket> idle;
-  for (int i = 0; i < 200; ++i) idle.push_back(Socket::Connect(node.port));
-  EXPECT_EQ(ClientStandIn(node.port).Ask(ClientStandIn::Command({"PING"})), "+PONG");  // one gave way
+  std::vector<Socket> idle_connections;
+  for (int i = 0; i < 200; ++i) idle_connections.push_back(Socket::Connect(node.port));
+  // An idle client was evicted.
+  EXPECT_EQ(ClientStandIn(node.port).Ask(ClientStandIn::Command({"PING"})), "+PONG");
   platform.Down(false);
   ASSERT_TRUE(EnqueueOnceListed("m", "c=safe,d=60000,dest=7"));
   EXPECT_TRUE(Eventually([&] { return endpoint.CallsFor("m") == 1; }));
--- a/tests/node_hand_over_test.cpp
+++ b/tests/node_hand_over_test.cpp
@@ -1,5 +1,5 @@
-// A hand-over that does not go as planned: a successor that ends before it has taken over, and others behind
-// it.
+// A hand-over that does not go as planned: a successor ends before it has taken over, and another process
+// follows it.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -20,8 +20,8 @@
     ASSERT_TRUE(process.Start());
     ASSERT_NE(process.log().find("journal.shared"), std::string::npos);
   }
-  // The successor takes a message on, calls nobody, and ends by the signal.
-  void TakeAndEnd(const std::string& id) {
+  // The successor accepts a message, makes no call, and ends by the signal.
+  void AcceptAndEndSuccessor(const std::string& id) {
     StartBeside(successor);
     ASSERT_EQ(ClientStandIn(successor.port).Ask(ClientStandIn::Enqueue(id, "c=unsafe,d=60000,dest=7")),
               "+OK");
@@ -33,10 +33,11 @@
   NodeProcess successor, third;
 };
 
-// Guards against messages that a successor took on and that the next successor's journal is written over.
-TEST_P(HandOver, WhatASuccessorTookOnBeforeItsEndIsItsOwnSuccessors) {
+// Guards against the loss of messages that a successor accepted, where the next successor overwrites its
+// journal.
+TEST_P(HandOver, MessagesOfAnEndedSuccessorPassToTheNextSuccessor) {
   ASSERT_TRUE(node.Start());
-  TakeAndEnd("left");
+  AcceptAndEndSuccessor("left");
   StartBeside(third);
   node.Signal(SIGTERM);
   EXPECT_EQ(node.Wait(), 0);
@@ -47,18 +48,19 @@
   EXPECT_TRUE(platform.notices().empty());
 }
 
-// The same where no other comes: the old process's next start has it.
-TEST_P(HandOver, WhatASuccessorTookOnBeforeItsEndIsTheNextStarts) {
+// The same without another successor: the next start of the old process resumes the message.
+TEST_P(HandOver, MessagesOfAnEndedSuccessorPassToTheNextStart) {
   ASSERT_TRUE(node.Start());
-  TakeAndEnd("left");
+  AcceptAndEndSuccessor("left");
   node.Signal(SIGTERM);
   EXPECT_EQ(node.Wait(), 0);
   ASSERT_TRUE(node.Start());
   EXPECT_TRUE(Eventually([&] { return endpoint.CallsFor("left") == 1; }));
 }
 
-INSTANTIATE_TEST_SUITE_P(By, HandOver, ::testing::Values(SIGTERM, SIGKILL),
-                         [](const auto& given) { return given.param == SIGTERM ? "SIGTERM" : "SIGKILL"; });
+INSTANTIATE_TEST_SUITE_P(By, HandOver, ::testing::Values(SIGTERM, SIGKILL), [](const auto& parameter) {
+  return parameter.param == SIGTERM ? "SIGTERM" : "SIGKILL";
+});
 
 }  // namespace
 }  // namespace indigosaddle::testing
