--- a/tests/node_moved_block_test.cpp
+++ b/tests/node_moved_block_test.cpp
@@ -1,4 +1,4 @@
-// An endpoint whose block in the list changes, at the built node.
+// An endpoint whose destination in the endpoint list changes, at the built node.
 #include <gtest/gtest.h>
 
 #include "stand_ins.h"
@@ -8,10 +8,11 @@
 
 using std::chrono::milliseconds;
 
-class MovedBlock : public NodeTest {};
+class DestinationChange : public NodeTest {};
 
-// Guards against a message at an endpoint that is listed for another destination by now: that voids a run.
-TEST_F(MovedBlock, AnEndpointListedForAnotherDestinationGetsNothingOfTheOldOne) {
+// Guards against a message that reaches an endpoint which is listed for another destination by then, which
+// makes a whole run invalid.
+TEST_F(DestinationChange, EndpointListedForAnotherDestinationGetsNoMessageOfTheOldOne) {
   EndpointStandIn endpoint;
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ASSERT_TRUE(node.Start());
--- a/tests/node_odd_input_test.cpp
+++ b/tests/node_odd_input_test.cpp
@@ -1,4 +1,4 @@
-// The built program on input that lacks a part or has an odd one: lists, commands, operators' requests.
+// The built program with malformed or incomplete input: endpoint lists, commands and operators' requests.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -8,21 +8,21 @@
 namespace indigosaddle::testing {
 namespace {
 
-class NodeOddInput : public NodeTest {};
+class MalformedInput : public NodeTest {};
 
-// A change of which an entry could not be read left its endpoint ready. The whole list, asked for at once,
-// has it right again, and the endpoint is used as before.
-TEST_F(NodeOddInput, AnEndpointWithAnOddEntryGetsNothingNewUntilItCanBeRead) {
+// Guards against an unreadable entry in a change that leaves its endpoint ready. The node requests the
+// complete list at once, and uses the endpoint again once its entry is readable.
+TEST_F(MalformedInput, EndpointWithAMalformedEntryGetsNoCallsUntilItIsReadable) {
   EndpointStandIn endpoint;
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ListSettler();
   ASSERT_TRUE(node.Start());
   Settle();
-  const int lists = platform.whole_lists();
-  auto odd = PlatformStandIn::Member("s-1", endpoint.address(), 7);
-  odd.erase("health");
-  platform.Set(odd);
-  EXPECT_TRUE(Eventually([&] { return platform.whole_lists() > lists; }));
+  const int lists_before = platform.whole_lists();
+  auto malformed = PlatformStandIn::Member("s-1", endpoint.address(), 7);
+  malformed.erase("health");
+  platform.Set(malformed);
+  EXPECT_TRUE(Eventually([&] { return platform.whole_lists() > lists_before; }));
   ClientStandIn client(node.port);
   ASSERT_EQ(client.Ask(ClientStandIn::Enqueue("held", "c=safe,d=60000,dest=7")), "+OK");
   std::this_thread::sleep_for(std::chrono::milliseconds(500));
@@ -31,8 +31,8 @@
   EXPECT_TRUE(Eventually([&] { return endpoint.CallsFor("held") == 1; }));
 }
 
-// A command that can't be believed is refused, and nothing is sent for it.
-TEST_F(NodeOddInput, ACommandWithADestinationGivenTwiceIsRefused) {
+// A contradictory command is rejected, and no call is made for it.
+TEST_F(MalformedInput, CommandWithADuplicateDestinationIsRejected) {
   EndpointStandIn endpoint;
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ListSettler();
@@ -46,24 +46,24 @@
   EXPECT_EQ(endpoint.CallsFor("twice"), 0);
 }
 
-// Half an operator's request, or one by another method, is no command.
-TEST_F(NodeOddInput, HalfARequestAtTheOperatorsAddressDoesNothing) {
-  int control = 0;
-  Socket::Listen(control).Close();
-  node.config["control"] = "127.0.0.1:" + std::to_string(control);
+// An incomplete operators' request, or one with another method, has no effect.
+TEST_F(MalformedInput, PartialRequestAtTheOperatorsAddressHasNoEffect) {
+  int operators_port = 0;
+  Socket::Listen(operators_port).Close();
+  node.config["control"] = "127.0.0.1:" + std::to_string(operators_port);
   ASSERT_TRUE(node.Start());
-  for (const std::string half :
+  for (const std::string partial_request :
        {"POST /admin/quiesce HTTP/1.1\r\n", "POST /admin/quiesce HTTP/1.1\r\nHost: n\r\n",
         "POST /admin/quiesce HTTP/1.1\r\nHost: n\r\nContent-Length: 5\r\n\r\nab",
         "POST /admin/quiesce HTTP/1.1\r\nHost: n\r\nContent-Length: -1\r\n\r\n",
         "POST /admin/quiesc HTTP/1.1\r\nHost: n\r\n\r\n", "post /admin/quiesce HTTP/1.1\r\nHost: n\r\n\r\n",
         "GET /admin/quiesce HTTP/1.1\r\nHost: n\r\n\r\n", "POST  HTTP/1.1\r\nHost: n\r\n\r\n",
         "POST /admin/quiesce/ HTTP/1.1\r\nHost: n\r\n\r\n"}) {
-    Socket socket = Socket::Connect(control);
-    ASSERT_TRUE(socket.Write(half));
+    Socket socket = Socket::Connect(operators_port);
+    ASSERT_TRUE(socket.Write(partial_request));
     shutdown(socket.get(), SHUT_WR);
     socket.Read();
-    EXPECT_EQ(ClientStandIn(node.port).Ask(ClientStandIn::Command({"PING"})), "+PONG") << half;
+    EXPECT_EQ(ClientStandIn(node.port).Ask(ClientStandIn::Command({"PING"})), "+PONG") << partial_request;
   }
 }
 
--- a/tests/node_ops_test.cpp
+++ b/tests/node_ops_test.cpp
@@ -1,5 +1,5 @@
-// The built program as operators run it daily: the HTTP address, the figures, emptying for a front, and a
-// process that replaces another on the same address and state folder.
+// Daily operation of the built program: the operators' HTTP address, the statistics, quiescing behind a load
+// balancer, and a process that replaces another on the same address and state folder.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -13,103 +13,110 @@
 
 std::string Ping(int port) { return ClientStandIn(port).Ask(ClientStandIn::Command({"PING"})); }
 
-class OpsTest : public NodeTest {
+class OperationsTest : public NodeTest {
  protected:
-  OpsTest() : control(FreePort()) { node.config["control"] = "127.0.0.1:" + std::to_string(control); }
-  int control;
+  OperationsTest() : operators_port(FreePort()) {
+    node.config["control"] = "127.0.0.1:" + std::to_string(operators_port);
+  }
+  int operators_port;
 };
 
-TEST_F(OpsTest, HealthSaysReadyAndOtherPathsAreNamed) {
+TEST_F(OperationsTest, HealthReportsReadyAndOtherPathsAreErrors) {
   ASSERT_TRUE(node.Start());
-  EXPECT_EQ(Call(control, "GET", "/admin/health"), std::make_pair(200, std::string("ready\n")));
-  EXPECT_EQ(Call(control, "GET", "/admin/nothing").first, 404);
-  EXPECT_EQ(Call(control, "GET", "/admin/quiesce").first, 405);  // a command is a POST
+  EXPECT_EQ(Call(operators_port, "GET", "/admin/health"), std::make_pair(200, std::string("ready\n")));
+  EXPECT_EQ(Call(operators_port, "GET", "/admin/nothing").first, 404);
+  EXPECT_EQ(Call(operators_port, "GET", "/admin/quiesce").first, 405);  // commands require POST
   EXPECT_EQ(Ping(node.port), "+PONG");
 }
 
-TEST_F(OpsTest, ACallerThatSaysNothingKeepsNoOtherOut) {
+TEST_F(OperationsTest, SilentClientsDoNotBlockOthers) {
   ASSERT_TRUE(node.Start());
-  std::vector<Socket> silent;
-  for (int i = 0; i < 40; ++i) silent.push_back(Socket::Connect(control));
-  EXPECT_EQ(Call(control, "GET", "/admin/health").first, 200);
-  Socket garbled = Socket::Connect(control);
-  ASSERT_TRUE(garbled.Write("\x01\x02 not http\r\n\r\n"));
-  EXPECT_EQ(garbled.Read().rfind("HTTP/1.1 400", 0), 0U);
+  std::vector<Socket> silent_clients;
+  for (int i = 0; i < 40; ++i) silent_clients.push_back(Socket::Connect(operators_port));
+  EXPECT_EQ(Call(operators_port, "GET", "/admin/health").first, 200);
+  Socket malformed_request = Socket::Connect(operators_port);
+  ASSERT_TRUE(malformed_request.Write("\x01\x02 not http\r\n\r\n"));
+  EXPECT_EQ(malformed_request.Read().rfind("HTTP/1.1 400", 0), 0U);
 }
 
-// What a caller sends behind its call is dropped unread by the operators' part, and the answer is whole all
-// the same, with an orderly end behind it: closed over those bytes, the connection was reset and the answer
-// lost.
-TEST_F(OpsTest, ACallWithBytesBehindItHasItsWholeAnswerAndAnOrderlyEnd) {
+// Bytes that a client sends after its request are discarded, and the answer still arrives completely and ends
+// with an orderly close. Guards against a close with unread bytes, which reset the connection and lost the
+// answer.
+TEST_F(OperationsTest, RequestFollowedByExtraBytesGetsItsWholeAnswerAndAnOrderlyClose) {
   ASSERT_TRUE(node.Start());
-  const std::string whole = Call(control, "GET", "/admin/stats").second;
-  for (const std::size_t behind : {1, 100, 60000}) {
-    const Socket caller = Socket::Connect(control);
-    ASSERT_TRUE(caller.Write("GET /admin/stats HTTP/1.1\r\nHost: node\r\n\r\n" + std::string(behind, 'x')));
+  const std::string expected_body = Call(operators_port, "GET", "/admin/stats").second;
+  for (const std::size_t extra_bytes : {1, 100, 60000}) {
+    const Socket caller = Socket::Connect(operators_port);
+    ASSERT_TRUE(
+        caller.Write("GET /admin/stats HTTP/1.1\r\nHost: node\r\n\r\n" + std::string(extra_bytes, 'x')));
     std::string bytes;
-    char space[4096];
+    char buffer[4096];
     ssize_t count = 0;
-    while ((count = recv(caller.get(), space, sizeof space, 0)) > 0) {
-      bytes.append(space, static_cast<std::size_t>(count));
-      caller.Write("more");  // as the answer comes
+    while ((count = recv(caller.get(), buffer, sizeof buffer, 0)) > 0) {
+      bytes.append(buffer, static_cast<std::size_t>(count));
+      caller.Write("more");  // while the answer arrives
     }
-    EXPECT_EQ(count, 0) << "reset behind " << behind;
+    EXPECT_EQ(count, 0) << "connection reset after extra bytes: " << extra_bytes;
     EXPECT_TRUE(bytes.starts_with("HTTP/1.1 200"));
-    EXPECT_EQ(std::count(bytes.begin(), bytes.end(), '\n'), std::count(whole.begin(), whole.end(), '\n') + 6);
+    EXPECT_EQ(std::count(bytes.begin(), bytes.end(), '\n'),
+              std::count(expected_body.begin(), expected_body.end(), '\n') + 6);
   }
 }
 
-TEST_F(OpsTest, TheFiguresCountByClassFromTheStart) {
+TEST_F(OperationsTest, StatisticsCountByClassFromTheStart) {
   ListSettler();
   ASSERT_TRUE(node.Start());
   Settle("one");
   Settle("two");
-  // No endpoint is listed for 7: the message is refused at the door.
+  // No endpoint is listed for 7: the message is rejected at admission.
   ASSERT_EQ(Enqueue("nowhere", "c=unsafe,d=50,dest=7").rfind("-BUSY", 0), 0U);
-  const std::string figures = Call(control, "GET", "/admin/stats").second;
-  EXPECT_NE(figures.find("app.downstream_requests.safe.completed:2|c\n"), std::string::npos) << figures;
-  EXPECT_NE(figures.find("app.downstream_requests.unsafe.rejected:1|c\n"), std::string::npos) << figures;
-  EXPECT_NE(figures.find("app.downstream_requests.keyed.completed:0|c\n"), std::string::npos) << figures;
-  EXPECT_NE(figures.find("app.upstream_requests:2|c\n"), std::string::npos) << figures;
-  EXPECT_NE(figures.find("app.pending:0|g\n"), std::string::npos) << figures;
-  EXPECT_NE(figures.find("app.members:1|g\n"), std::string::npos) << figures;
-  EXPECT_NE(figures.find("app.config_reloads:0|c\n"), std::string::npos) << figures;
+  const std::string statistics = Call(operators_port, "GET", "/admin/stats").second;
+  EXPECT_NE(statistics.find("app.downstream_requests.safe.completed:2|c\n"), std::string::npos) << statistics;
+  EXPECT_NE(statistics.find("app.downstream_requests.unsafe.rejected:1|c\n"), std::string::npos)
+      << statistics;
+  EXPECT_NE(statistics.find("app.downstream_requests.keyed.completed:0|c\n"), std::string::npos)
+      << statistics;
+  EXPECT_NE(statistics.find("app.upstream_requests:2|c\n"), std::string::npos) << statistics;
+  EXPECT_NE(statistics.find("app.pending:0|g\n"), std::string::npos) << statistics;
+  EXPECT_NE(statistics.find("app.members:1|g\n"), std::string::npos) << statistics;
+  EXPECT_NE(statistics.find("app.config_reloads:0|c\n"), std::string::npos) << statistics;
 }
 
-TEST_F(OpsTest, ReloadsAndRefusedFilesAreCounted) {
+TEST_F(OperationsTest, ReloadsAndRejectedFilesAreCounted) {
   ASSERT_TRUE(node.Start());
   node.Signal(SIGHUP);
   ASSERT_TRUE(Eventually([&] {
-    return Call(control, "GET", "/admin/stats").second.find("app.config_reloads:1|c") != std::string::npos;
+    return Call(operators_port, "GET", "/admin/stats").second.find("app.config_reloads:1|c") !=
+           std::string::npos;
   }));
-  node.WriteConfig("{\"name\": ");  // cut off
+  node.WriteConfig("{\"name\": ");  // truncated
   node.Signal(SIGHUP);
   EXPECT_TRUE(Eventually([&] {
-    return Call(control, "GET", "/admin/stats").second.find("app.config_reload_errors:1|c") !=
+    return Call(operators_port, "GET", "/admin/stats").second.find("app.config_reload_errors:1|c") !=
            std::string::npos;
   }));
 }
 
-TEST_F(OpsTest, QuiescedPingSaysNoClientsAreLetGoAndResumeBringsItBack) {
+TEST_F(OperationsTest, QuiescedNodeFailsPingAndClosesClientsUntilResumed) {
   ListSettler();
   ASSERT_TRUE(node.Start());
   ClientStandIn idle(node.port);
   ASSERT_EQ(idle.Ask(ClientStandIn::Command({"PING"})), "+PONG");
-  EXPECT_EQ(Call(control, "POST", "/admin/quiesce").first, 200);
+  EXPECT_EQ(Call(operators_port, "POST", "/admin/quiesce").first, 200);
   EXPECT_NE(Ping(node.port), "+PONG");
-  EXPECT_EQ(Call(control, "GET", "/admin/health").first, 503);
-  // A client that stands between requests is let go; it sees the connection end.
-  const auto since = Clock::now();
+  EXPECT_EQ(Call(operators_port, "GET", "/admin/health").first, 503);
+  // The connection of a client that is idle between requests is closed.
+  const auto quiesced_at = Clock::now();
   EXPECT_TRUE(idle.socket().Read(std::chrono::milliseconds(3000)).empty());
-  EXPECT_LT(Clock::now() - since, std::chrono::seconds(2));
-  // What comes meanwhile is still taken and delivered.
+  EXPECT_LT(Clock::now() - quiesced_at, std::chrono::seconds(2));
+  // Messages that arrive meanwhile are still accepted and delivered.
   Settle("meanwhile");
-  EXPECT_EQ(Call(control, "POST", "/admin/resume").first, 200);
+  EXPECT_EQ(Call(operators_port, "POST", "/admin/resume").first, 200);
   EXPECT_EQ(Ping(node.port), "+PONG");
-  EXPECT_EQ(Call(control, "GET", "/admin/health").first, 200);
+  EXPECT_EQ(Call(operators_port, "GET", "/admin/health").first, 200);
 }
 
-class SuccessorTest : public OpsTest {
+class SuccessorTest : public OperationsTest {
  protected:
   SuccessorTest() : successor(platform.address()) {}
   void StartSuccessor() {
@@ -120,52 +127,53 @@
     ASSERT_TRUE(successor.Start());
     ASSERT_NE(successor.log().find("journal.shared"), std::string::npos);
   }
-  bool TakenOver() { return successor.log().find("journal.taken_over") != std::string::npos; }
+  bool HasTakenOver() { return successor.log().find("journal.taken_over") != std::string::npos; }
   NodeProcess successor;
 };
 
-TEST_F(SuccessorTest, ResumesWhatTheOldOneLeftWhichEndsAtOnce) {
+TEST_F(SuccessorTest, ResumesPendingMessagesOfAPredecessorThatEndsAtOnce) {
   ASSERT_TRUE(node.Start());
-  // Nothing is listed for 7 yet: the message stays open.
+  // No endpoint is listed for 7 yet: the message stays pending.
   ASSERT_EQ(Enqueue("left", "c=safe,d=60000,dest=7"), "+OK");
   ClientStandIn idle(node.port);
   ASSERT_EQ(idle.Ask(ClientStandIn::Command({"PING"})), "+PONG");
   StartSuccessor();
-  const auto since = Clock::now();
+  const auto stopped_at = Clock::now();
   node.Signal(SIGTERM);
   EXPECT_TRUE(idle.socket().Read().empty());
   EXPECT_EQ(node.Wait(), 0);
-  EXPECT_LT(Clock::now() - since, std::chrono::seconds(2));  // 3 s and more without a successor
-  ASSERT_TRUE(Eventually([&] { return TakenOver(); }));
+  // Without a successor the stop takes at least 3 s.
+  EXPECT_LT(Clock::now() - stopped_at, std::chrono::seconds(2));
+  ASSERT_TRUE(Eventually([&] { return HasTakenOver(); }));
   EXPECT_EQ(Ping(successor.port), "+PONG");
-  EndpointStandIn seven;
-  platform.Set(PlatformStandIn::Member("seven", seven.address(), 7));
-  EXPECT_TRUE(Eventually([&] { return seven.CallsFor("left") == 1; }));
-  // The successor's own messages go on beside it.
+  EndpointStandIn endpoint;
+  platform.Set(PlatformStandIn::Member("seven", endpoint.address(), 7));
+  EXPECT_TRUE(Eventually([&] { return endpoint.CallsFor("left") == 1; }));
+  // The successor's own messages are delivered as well.
   ASSERT_EQ(ClientStandIn(successor.port).Ask(ClientStandIn::Enqueue("new", "c=safe,d=60000,dest=7")), "+OK");
-  EXPECT_TRUE(Eventually([&] { return seven.CallsFor("new") == 1; }));
-  EXPECT_EQ(seven.CallsFor("left"), 1);
+  EXPECT_TRUE(Eventually([&] { return endpoint.CallsFor("new") == 1; }));
+  EXPECT_EQ(endpoint.CallsFor("left"), 1);
 }
 
-TEST_F(SuccessorTest, BeginsNoCallWhileTheOldOnesAreOut) {
-  EndpointStandIn seven([](Socket& socket, const HttpRequest&, int) { return Hang(socket); });
-  platform.Set(PlatformStandIn::Member("seven", seven.address(), 7));
+TEST_F(SuccessorTest, StartsNoCallWhileThePredecessorsCallsAreInFlight) {
+  EndpointStandIn endpoint([](Socket& socket, const HttpRequest&, int) { return Hang(socket); });
+  platform.Set(PlatformStandIn::Member("seven", endpoint.address(), 7));
   ASSERT_TRUE(node.Start());
   ASSERT_EQ(Enqueue("out", "c=safe,d=60000,dest=7"), "+OK");
-  ASSERT_TRUE(Eventually([&] { return seven.CallsFor("out") == 1; }));
+  ASSERT_TRUE(Eventually([&] { return endpoint.CallsFor("out") == 1; }));
   StartSuccessor();
   node.Signal(SIGTERM);
   ASSERT_TRUE(Eventually([&] { return node.log().find("stopping") != std::string::npos; }));
   ASSERT_EQ(ClientStandIn(successor.port).Ask(ClientStandIn::Enqueue("new", "c=safe,d=60000,dest=7")), "+OK");
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
-  EXPECT_EQ(seven.CallsFor("new"), 0);
-  EXPECT_FALSE(TakenOver());
-  // A predecessor that stays holds nothing up for long.
-  EXPECT_TRUE(Eventually([&] { return seven.CallsFor("new") == 1; }));
+  EXPECT_EQ(endpoint.CallsFor("new"), 0);
+  EXPECT_FALSE(HasTakenOver());
+  // A predecessor that does not end delays the successor's calls only briefly.
+  EXPECT_TRUE(Eventually([&] { return endpoint.CallsFor("new") == 1; }));
   EXPECT_EQ(node.Wait(), 0);
 }
 
-TEST_F(SuccessorTest, AThirdProcessIsRefused) {
+TEST_F(SuccessorTest, ThirdProcessIsRejected) {
   ASSERT_TRUE(node.Start());
   StartSuccessor();
   NodeProcess third(platform.address());
--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -1,4 +1,4 @@
-// The node's configuration, which needs no sockets.
+// Reading the node's configuration file, without sockets.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 #include <unistd.h>
@@ -37,14 +37,15 @@
     "machineTypes":["ordering-platforms","single-shops"],"zones":["carmarthen-dc"],"zone":0}})";
 const std::map<std::string, std::string> kEnvironment = {{"EDGE_STATE", "/state"}};
 
-std::string Edited(const std::string& from, const std::string& to) {
+// The configuration text with one part replaced.
+std::string ConfigWith(const std::string& old_text, const std::string& new_text) {
   std::string text = kConfig;
-  const std::size_t at = text.find(from);
-  EXPECT_NE(at, std::string::npos) << from;
-  return text.replace(at, from.size(), to);
+  const std::size_t position = text.find(old_text);
+  EXPECT_NE(position, std::string::npos) << old_text;
+  return text.replace(position, old_text.size(), new_text);
 }
 
-TEST(Config, ReadsTheSettingsAsTheSimulatorsAdapterDoes) {
+TEST(Config, ReadsTheSettingsAsTheSimulatorAdapterDoes) {
   const Config config = ReadConfig(kConfig, kEnvironment);
   EXPECT_EQ(config.name, "n3");
   EXPECT_EQ(config.settings.seed, 0x8c1f30d27a5be964u);
@@ -61,7 +62,8 @@
   EXPECT_EQ(config.settings.classes[1].effect, Effect::kUnsafe);
   ASSERT_EQ(config.settings.kinds.size(), 2u);
   EXPECT_TRUE(config.settings.kinds[1].separate_routes);
-  EXPECT_EQ(config.settings.kinds[1].per_call, 1);  // on the sockets
+  // A call over a socket carries one message, whatever the file says.
+  EXPECT_EQ(config.settings.kinds[1].per_call, 1);
   EXPECT_EQ(config.settings.cold_from, 0.23);
   EXPECT_EQ(config.classes.at("zone notice"), 0);
   EXPECT_EQ(config.classes.at("b"), 1);
@@ -73,12 +75,13 @@
   EXPECT_NE(config.known_list, "");
 }
 
-// A class keeps its number, and says what binds messages that are born from now on; open ones carry their own
-// rules (SettingsChange.AMessageKeepsItsRulesWhateverItsClassSaysByThen).
-TEST(Config, AClassWhoseEffectChangesKeepsItsNumber) {
+// A class keeps its number, and its new effect applies to messages accepted from now on; pending messages
+// keep the rules with which they were accepted
+// (SettingsChange.AMessageKeepsItsRulesWhateverItsClassSaysByThen).
+TEST(Config, ClassWhoseEffectChangesKeepsItsNumber) {
   const Config running = ReadConfig(kConfig, kEnvironment);
   const Config next =
-      ReadConfig(Edited(R"("effect":"non_idempotent")", R"("effect":"read_like")"), kEnvironment);
+      ReadConfig(ConfigWith(R"("effect":"non_idempotent")", R"("effect":"read_like")"), kEnvironment);
   const Config changed = WithRuntimeChanges(running, next);
   ASSERT_EQ(changed.settings.classes.size(), 2u);
   EXPECT_EQ(changed.classes, running.classes);
@@ -88,46 +91,49 @@
   EXPECT_TRUE(PathsNeedingRestart(running, next).empty());
 }
 
-// Seen on the ops bench: a file at SIGHUP with attemptsCap 0 was taken, and with it a discovery address
-// where nobody listened.
-TEST(Config, NoAttemptsOrNoDeadlineIsRefused) {
-  EXPECT_THROW(ReadConfig(Edited(R"("attemptsCap":12)", R"("attemptsCap":0)"), kEnvironment), ConfigError);
-  EXPECT_THROW(ReadConfig(Edited(R"("deadline":20000.0)", R"("deadline":0)"), kEnvironment), ConfigError);
-  EXPECT_THROW(ReadConfig(Edited(R"("deadline":20000.0)", R"("deadline":-5)"), kEnvironment), ConfigError);
+// Guards against a fault seen in the operations benchmark: a file read at SIGHUP with attemptsCap 0 was
+// accepted, and with it a discovery address without a listener.
+TEST(Config, MissingAttemptsOrDeadlineIsRejected) {
+  EXPECT_THROW(ReadConfig(ConfigWith(R"("attemptsCap":12)", R"("attemptsCap":0)"), kEnvironment),
+               ConfigError);
+  EXPECT_THROW(ReadConfig(ConfigWith(R"("deadline":20000.0)", R"("deadline":0)"), kEnvironment), ConfigError);
+  EXPECT_THROW(ReadConfig(ConfigWith(R"("deadline":20000.0)", R"("deadline":-5)"), kEnvironment),
+               ConfigError);
   EXPECT_NO_THROW(ReadConfig(kConfig, kEnvironment));
 }
 
-TEST(Config, TheEnvironmentGoesBeforeTheFile) {
+TEST(Config, EnvironmentOverridesTheFile) {
   auto environment = kEnvironment;
   environment["EDGE_NAME"] = "n9";
   environment["EDGE_LISTEN"] = "127.0.0.2:77";
   EXPECT_EQ(ReadConfig(kConfig, environment).name, "n9");
   EXPECT_EQ(ReadConfig(kConfig, environment).listen, "127.0.0.2:77");
-  // But for discovery: the file is what a reload reads again.
+  // The exception is discovery, since a reload reads the file again.
   environment["EDGE_DISCOVERY"] = "127.0.0.3:1";
   EXPECT_EQ(ReadConfig(kConfig, environment).discovery, "127.0.0.1:8500");
-  EXPECT_EQ(ReadConfig(Edited(R"("discovery":"127.0.0.1:8500",)", ""), environment).discovery, "127.0.0.3:1");
+  EXPECT_EQ(ReadConfig(ConfigWith(R"("discovery":"127.0.0.1:8500",)", ""), environment).discovery,
+            "127.0.0.3:1");
 }
 
-TEST(Config, SaysInOneLineWhatIsWrong) {
-  const std::map<std::string, std::string> bad = {
+TEST(Config, ReportsAFaultInOneLine) {
+  const std::map<std::string, std::string> faulty_texts = {
       {"", "JSON"},
       {"[]", "JSON"},
-      {Edited(R"("name":"n3",)", ""), "name"},
-      {Edited(R"("127.0.0.1:0")", R"("nowhere")"), "listen"},
-      {Edited(R"("127.0.0.1:8500")", "5"), "discovery"},
-      {Edited(R"("disk_mb":3)", R"("disk_mb":0)"), "disk_mb"},
-      {Edited(R"("sockets":1024,)", ""), "sockets"},
-      {Edited(R"("tick":5.0)", R"("tick":"soon")"), "tick"},
-      {Edited(R"("idempotency_key")", R"("sometimes")"), "effect"},
-      {Edited("8c1f30d27a5be964", "xyz"), "seed"},
+      {ConfigWith(R"("name":"n3",)", ""), "name"},
+      {ConfigWith(R"("127.0.0.1:0")", R"("nowhere")"), "listen"},
+      {ConfigWith(R"("127.0.0.1:8500")", "5"), "discovery"},
+      {ConfigWith(R"("disk_mb":3)", R"("disk_mb":0)"), "disk_mb"},
+      {ConfigWith(R"("sockets":1024,)", ""), "sockets"},
+      {ConfigWith(R"("tick":5.0)", R"("tick":"soon")"), "tick"},
+      {ConfigWith(R"("idempotency_key")", R"("sometimes")"), "effect"},
+      {ConfigWith("8c1f30d27a5be964", "xyz"), "seed"},
   };
-  for (const auto& [text, word] : bad) {
+  for (const auto& [text, expected_word] : faulty_texts) {
     try {
       ReadConfig(text, kEnvironment);
       ADD_FAILURE() << "accepted: " << text;
     } catch (const ConfigError& error) {
-      EXPECT_NE(std::string(error.what()).find(word), std::string::npos) << error.what();
+      EXPECT_NE(std::string(error.what()).find(expected_word), std::string::npos) << error.what();
       EXPECT_EQ(std::string(error.what()).find('\n'), std::string::npos);
     }
   }
@@ -136,30 +142,30 @@
   EXPECT_THROW(MakeConfig(ReadSources({{"EDGE_CONFIG", "/no/such/file"}}, "")), ConfigError);
 }
 
-// What is wrong, and where or what was expected instead.
-bool SaysAFault(const std::string& line) {
+// Whether the line names a fault, with its place or what was expected instead.
+bool NamesAFault(const std::string& line) {
   for (const char* words : {"expected ", "is missing", "stands twice", "is named twice", "nested over"})
     if (line.find(words) != std::string::npos) return true;
   return false;
 }
 
-// Half written, or with any bytes changed: it is read, or refused by a ConfigError, never anything else.
-TEST(Config, TruncatedAndMutatedTextsAreReadOrRefused) {
-  int refused = 0, read = 0;
-  const auto feed = [&](const std::string& text) {
+// A truncated or mutated text is either read or rejected with a ConfigError; no other failure occurs.
+TEST(Config, TruncatedAndMutatedTextsAreReadOrRejected) {
+  int rejected = 0, accepted = 0;
+  const auto read_or_reject = [&](const std::string& text) {
     try {
       const Config config = ReadConfig(text, kEnvironment);
       EXPECT_FALSE(config.settings.classes.empty());
       EXPECT_GT(config.sockets, 0u);
-      ++read;
+      ++accepted;
     } catch (const ConfigError& error) {
       std::istringstream lines(error.what());
-      for (std::string line; std::getline(lines, line);) EXPECT_TRUE(SaysAFault(line)) << line;
-      ++refused;
+      for (std::string line; std::getline(lines, line);) EXPECT_TRUE(NamesAFault(line)) << line;
+      ++rejected;
     }
   };
-  for (std::size_t size = 0; size < kConfig.size(); ++size) feed(kConfig.substr(0, size));
-  EXPECT_EQ(refused, static_cast<int>(kConfig.size()));
+  for (std::size_t size = 0; size < kConfig.size(); ++size) read_or_reject(kConfig.substr(0, size));
+  EXPECT_EQ(rejected, static_cast<int>(kConfig.size()));
   std::mt19937 random(11);
   for (int i = 0; i < 3000; ++i) {
     std::string text = kConfig;
@@ -167,12 +173,10 @@
       text[random() % text.size()] =
           i % 2 == 0 ? static_cast<char>(random()) : "0123456789-e.\"{}[],:"[random() % 21];
     }
-    feed(text);
+    read_or_reject(text);
   }
-  EXPECT_GT(read, 0);
+  EXPECT_GT(accepted, 0);
 }
 
-// ---- The journal's file ---------------------------------------------------------------------------------
-
 }  // namespace
 }  // namespace indigosaddle::node
