--- a/tests/message_rules_test.cpp
+++ b/tests/message_rules_test.cpp
@@ -51,7 +51,7 @@
   std::string folder;
 };
 
-std::string FileText(const std::string& lines) { return "rules 1\n" + lines + "end\n"; }
+std::string RulesFileText(const std::string& lines) { return "rules 1\n" + lines + "end\n"; }
 
 TEST_F(RulesFileTest, SavedRulesAreReadBack) {
   MessageRules first(folder);
@@ -61,7 +61,7 @@
   next.Start(Safe(), kStart, true);
   EXPECT_TRUE(next.known());
   EXPECT_EQ(RulesOfMessageAt(next, kStart).effect, Effect::kSafe);
-  EXPECT_EQ(RulesAfterStart(FileText(kSafeLine)).effect, Effect::kSafe);
+  EXPECT_EQ(RulesAfterStart(RulesFileText(kSafeLine)).effect, Effect::kSafe);
 }
 
 // Guards against a malformed line, or one of another class, that is taken for a complete one: a message would
@@ -84,25 +84,25 @@
            "0 3 0 0 8000000 9223372036854775807 notice\n",
            "0 2 0 0 8000000 99999999999999999999 notice\n",
        }) {
-    EXPECT_EQ(RulesAfterStart(FileText(line)), kStrictestRules) << line;
-    EXPECT_EQ(RulesAfterStart(FileText(std::string(kSafeLine) + line)), kStrictestRules) << line;
+    EXPECT_EQ(RulesAfterStart(RulesFileText(line)), kStrictestRules) << line;
+    EXPECT_EQ(RulesAfterStart(RulesFileText(std::string(kSafeLine) + line)), kStrictestRules) << line;
   }
 }
 
 // Each file that a process writes names the rules in force of each class: a file that names no class, or
 // names a class in force twice, is incomplete.
 TEST_F(RulesFileTest, EmptyOrContradictoryFileMeansTheStrictestRules) {
-  EXPECT_EQ(RulesAfterStart(FileText("")), kStrictestRules);
-  EXPECT_EQ(RulesAfterStart(FileText("0 2 0 0 8000000 999000000 notice\n")), kStrictestRules)
+  EXPECT_EQ(RulesAfterStart(RulesFileText("")), kStrictestRules);
+  EXPECT_EQ(RulesAfterStart(RulesFileText("0 2 0 0 8000000 999000000 notice\n")), kStrictestRules)
       << "nothing in force";
-  EXPECT_EQ(RulesAfterStart(FileText(std::string(kSafeLine) + kSafeLine)), kStrictestRules);
-  EXPECT_EQ(RulesAfterStart(FileText(kSafeLine) + "2 2 0 0 8000000 999500000 notice\nend\n"),
+  EXPECT_EQ(RulesAfterStart(RulesFileText(std::string(kSafeLine) + kSafeLine)), kStrictestRules);
+  EXPECT_EQ(RulesAfterStart(RulesFileText(kSafeLine) + "2 2 0 0 8000000 999500000 notice\nend\n"),
             kStrictestRules);
   EXPECT_EQ(RulesAfterStart("rules 2\n" + std::string(kSafeLine) + "end\n"), kStrictestRules);
 }
 
 TEST_F(RulesFileTest, FileTruncatedAtAnyByteMeansTheStrictestRules) {
-  const std::string whole = FileText(kSafeLine);
+  const std::string whole = RulesFileText(kSafeLine);
   for (std::size_t size = 0; size + 1 < whole.size(); ++size)
     EXPECT_EQ(RulesAfterStart(whole.substr(0, size)), kStrictestRules) << size;
 }
@@ -111,7 +111,7 @@
 // may apply to the messages that it accepted meanwhile.
 TEST_F(RulesFileTest, SuccessorWithoutHistoryAppliesTheStrictestRulesForAWhile) {
   for (const bool damaged : {false, true}) {
-    WriteRules(FileText(kSafeLine));
+    WriteRules(RulesFileText(kSafeLine));
     MessageRules successor(folder);
     successor.Start(Safe(), kStart, true);
     ASSERT_EQ(RulesOfMessageAt(successor, kStart + seconds(1)).effect, Effect::kSafe);
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -1,4 +1,4 @@
-// The built program against stand-ins: what clients and endpoints see of it.
+// The built program against stand-ins: its behaviour towards clients and endpoints.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -10,7 +10,7 @@
 namespace indigosaddle::testing {
 namespace {
 
-TEST_F(NodeTest, AFirstMessageIsDeliveredAsItCame) {
+TEST_F(NodeTest, MessageIsDeliveredUnchanged) {
   EndpointStandIn endpoint;
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ASSERT_TRUE(node.Start());
@@ -25,8 +25,8 @@
   EXPECT_TRUE(platform.notices().empty());
 }
 
-// Each is used again once it was silent for a while, and not before.
-TEST_F(NodeTest, ConnectionsAreKeptForALaterCall) {
+// A connection is reused only after it has been silent for a while.
+TEST_F(NodeTest, ConnectionsAreReusedForLaterCalls) {
   constexpr int kMessages = 10;
   EndpointStandIn endpoint;
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
@@ -42,85 +42,89 @@
   }
 }
 
-// One row of the outcome table: what the first call meets, and what becomes of an unsafe message.
-struct Row {
+// One row of the outcome table: the answer to the first call, and the result of an unsafe message.
+struct OutcomeCase {
   const char* name;
-  EndpointStandIn::React first;
-  enum { kDeliveredByTheSecond, kFailedAfterOne, kOver } end;
+  EndpointStandIn::React first_answer;
+  enum { kDeliveredBySecondCall, kFailedAfterFirstCall, kNoFurtherCall } result;
 };
 
-void PrintTo(const Row& row, std::ostream* out) { *out << row.name; }
+void PrintTo(const OutcomeCase& outcome_case, std::ostream* out) { *out << outcome_case.name; }
 
-class OutcomeTable : public NodeTest, public ::testing::WithParamInterface<Row> {};
+class OutcomeTable : public NodeTest, public ::testing::WithParamInterface<OutcomeCase> {};
 
 TEST_P(OutcomeTable, OfAnUnsafeMessage) {
-  const Row& row = GetParam();
+  const OutcomeCase& outcome_case = GetParam();
   EndpointStandIn endpoint([&](Socket& s, const HttpRequest& r, int number) {
-    return number == 1 ? row.first(s, r, number) : s.Write(Answer(200));
+    return number == 1 ? outcome_case.first_answer(s, r, number) : s.Write(Answer(200));
   });
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ListSettler();
   ASSERT_TRUE(node.Start());
   ASSERT_EQ(Enqueue("m", "c=unsafe,d=60000,dest=7"), "+OK");
-  if (row.end == Row::kDeliveredByTheSecond) {
+  if (outcome_case.result == OutcomeCase::kDeliveredBySecondCall) {
     ASSERT_TRUE(Eventually([&] { return endpoint.CallsFor("m") == 2; }));
-  } else if (row.end == Row::kFailedAfterOne) {
+  } else if (outcome_case.result == OutcomeCase::kFailedAfterFirstCall) {
     ASSERT_TRUE(Eventually([&] { return HasNotice("m", "failed"); }));
   } else {
     ASSERT_TRUE(Eventually([&] { return endpoint.CallsFor("m") == 1; }));
   }
   Settle();
-  EXPECT_EQ(endpoint.CallsFor("m"), row.end == Row::kDeliveredByTheSecond ? 2 : 1);
-  EXPECT_EQ(platform.notices().size(), row.end == Row::kFailedAfterOne ? 1u : 0u);
+  EXPECT_EQ(endpoint.CallsFor("m"), outcome_case.result == OutcomeCase::kDeliveredBySecondCall ? 2 : 1);
+  EXPECT_EQ(platform.notices().size(), outcome_case.result == OutcomeCase::kFailedAfterFirstCall ? 1u : 0u);
 }
 
-EndpointStandIn::React Says(std::string text) {
+EndpointStandIn::React AnswerWith(std::string text) {
   return [text = std::move(text)](Socket& s, const HttpRequest&, int) { return s.Write(text); };
 }
 
 INSTANTIATE_TEST_SUITE_P(
     EachRow, OutcomeTable,
     ::testing::Values(
-        Row{"error", Says(Answer(500)), Row::kFailedAfterOne},
-        Row{"told_to_wait", Says(Answer(429, "X-Retry-In-Ms: 50\r\n")), Row::kDeliveredByTheSecond},
-        Row{"turned_away", Says(Answer(503)), Row::kDeliveredByTheSecond},
-        Row{"no_slot", Says(Answer(503, "X-No-Slot: 1\r\n")), Row::kDeliveredByTheSecond},
-        Row{"no_attempts_left", Says(Answer(504)), Row::kDeliveredByTheSecond},
-        Row{"over", Says(Answer(410)), Row::kOver},
-        Row{"other_status", Says(Answer(404)), Row::kFailedAfterOne},
-        Row{"unreadable", Says("rubbish\r\n\r\n"), Row::kFailedAfterOne},
-        Row{"body_too_long",
-            Says("HTTP/1.1 500 X\r\nContent-Length: 70000\r\n\r\n" + std::string(70000, 'x')),
-            Row::kFailedAfterOne},
-        Row{"ended", [](Socket&, const HttpRequest&, int) { return false; }, Row::kFailedAfterOne},
-        Row{"reset",
-            [](Socket& s, const HttpRequest&, int) {
-              s.Reset();
-              return false;
-            },
-            Row::kFailedAfterOne},
-        Row{"ended_mid_answer",
-            [](Socket& s, const HttpRequest&, int) {
-              s.Write("HTTP/1.1 503 X\r\nX-Ret");
-              return false;
-            },
-            Row::kFailedAfterOne},
-        Row{"delivered_by_its_first_line",
-            [](Socket& s, const HttpRequest&, int) {
-              s.Write("HTTP/1.1 200 OK\r\nX-");
-              return false;
-            },
-            Row::kOver},
-        Row{"delivered_without_a_length",
-            [](Socket& s, const HttpRequest&, int) {
-              s.Write("HTTP/1.1 200 OK\r\n\r\n");
-              return Hang(s);
-            },
-            Row::kOver},
-        Row{"timed_out", [](Socket& s, const HttpRequest&, int) { return Hang(s); }, Row::kFailedAfterOne}),
-    [](const auto& row) { return std::string(row.param.name); });
-
-TEST_F(NodeTest, ARefusedConnectionNeverRan) {
+        OutcomeCase{"error", AnswerWith(Answer(500)), OutcomeCase::kFailedAfterFirstCall},
+        OutcomeCase{"told_to_wait", AnswerWith(Answer(429, "X-Retry-In-Ms: 50\r\n")),
+                    OutcomeCase::kDeliveredBySecondCall},
+        OutcomeCase{"turned_away", AnswerWith(Answer(503)), OutcomeCase::kDeliveredBySecondCall},
+        OutcomeCase{"no_slot", AnswerWith(Answer(503, "X-No-Slot: 1\r\n")),
+                    OutcomeCase::kDeliveredBySecondCall},
+        OutcomeCase{"no_attempts_left", AnswerWith(Answer(504)), OutcomeCase::kDeliveredBySecondCall},
+        OutcomeCase{"over", AnswerWith(Answer(410)), OutcomeCase::kNoFurtherCall},
+        OutcomeCase{"other_status", AnswerWith(Answer(404)), OutcomeCase::kFailedAfterFirstCall},
+        OutcomeCase{"unreadable", AnswerWith("rubbish\r\n\r\n"), OutcomeCase::kFailedAfterFirstCall},
+        OutcomeCase{"body_too_long",
+                    AnswerWith("HTTP/1.1 500 X\r\nContent-Length: 70000\r\n\r\n" + std::string(70000, 'x')),
+                    OutcomeCase::kFailedAfterFirstCall},
+        OutcomeCase{"ended", [](Socket&, const HttpRequest&, int) { return false; },
+                    OutcomeCase::kFailedAfterFirstCall},
+        OutcomeCase{"reset",
+                    [](Socket& s, const HttpRequest&, int) {
+                      s.Reset();
+                      return false;
+                    },
+                    OutcomeCase::kFailedAfterFirstCall},
+        OutcomeCase{"ended_mid_answer",
+                    [](Socket& s, const HttpRequest&, int) {
+                      s.Write("HTTP/1.1 503 X\r\nX-Ret");
+                      return false;
+                    },
+                    OutcomeCase::kFailedAfterFirstCall},
+        OutcomeCase{"delivered_by_its_first_line",
+                    [](Socket& s, const HttpRequest&, int) {
+                      s.Write("HTTP/1.1 200 OK\r\nX-");
+                      return false;
+                    },
+                    OutcomeCase::kNoFurtherCall},
+        OutcomeCase{"delivered_without_a_length",
+                    [](Socket& s, const HttpRequest&, int) {
+                      s.Write("HTTP/1.1 200 OK\r\n\r\n");
+                      return Hang(s);
+                    },
+                    OutcomeCase::kNoFurtherCall},
+        OutcomeCase{"timed_out", [](Socket& s, const HttpRequest&, int) { return Hang(s); },
+                    OutcomeCase::kFailedAfterFirstCall}),
+    [](const auto& outcome_case) { return std::string(outcome_case.param.name); });
+
+TEST_F(NodeTest, CallOverARefusedConnectionHasNotRun) {
   int port = 0;
   { const Socket gone = Socket::Listen(port); }
   platform.Set(PlatformStandIn::Member("s-1", "127.0.0.1:" + std::to_string(port), 7));
@@ -132,7 +136,7 @@
   EXPECT_TRUE(platform.notices().empty());
 }
 
-TEST_F(NodeTest, MalformedRequestsAreAnsweredAndOthersGoOn) {
+TEST_F(NodeTest, MalformedCommandsAreAnsweredAndOtherClientsServed) {
   ListSettler();
   ASSERT_TRUE(node.Start());
   ClientStandIn other(node.port);
@@ -142,14 +146,14 @@
   EXPECT_EQ(client.Ask(ClientStandIn::Enqueue("m", "c=nothing,d=1000,dest=7")), "-ERR unknown class");
   EXPECT_EQ(client.Ask(ClientStandIn::Enqueue("m", "c=safe,t=nobody,d=1000,dest=7")), "-ERR unknown tenant");
   EXPECT_EQ(client.Ask(ClientStandIn::Enqueue("m", "c=safe,dest=7")).substr(0, 4), "-ERR");
-  EXPECT_EQ(client.Ask(ClientStandIn::Command({"ping"})), "+PONG");  // the stream could be followed
+  EXPECT_EQ(client.Ask(ClientStandIn::Command({"ping"})), "+PONG");  // the command stream is still in step
   EXPECT_EQ(client.Ask("*1\r\n$70000\r\n").substr(0, 4), "-ERR");
   EXPECT_EQ(client.ReadLine(), "");  // closed
   EXPECT_EQ(other.Ask(ClientStandIn::Command({"PING"})), "+PONG");
   Settle();
 }
 
-TEST_F(NodeTest, PipelinedInAnySplitIsAnsweredInOrder) {
+TEST_F(NodeTest, PipelinedCommandsInSingleBytesAreAnsweredInOrder) {
   ListSettler();
   ASSERT_TRUE(node.Start());
   const std::string bytes = ClientStandIn::Command({"PING"}) +
@@ -163,7 +167,7 @@
   EXPECT_TRUE(Eventually([&] { return settler.CallsFor("a") == 1 && settler.CallsFor("b") == 1; }));
 }
 
-TEST_F(NodeTest, AFullHouseIsBusy) {
+TEST_F(NodeTest, MessagesAboveTheOpenLimitGetBusy) {
   EndpointStandIn endpoint([](Socket& s, const HttpRequest&, int) { return Hang(s); });
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   node.config["settings"]["caps"]["maxOpen"] = 3;
@@ -175,7 +179,7 @@
   EXPECT_GE(answers.count("+OK"), 1u);
 }
 
-TEST_F(NodeTest, AFullJournalIsBusyUntilThereIsRoom) {
+TEST_F(NodeTest, FullJournalMeansBusyUntilItHasSpace) {
   std::atomic<bool> hang{true};
   EndpointStandIn endpoint([&](Socket& s, const HttpRequest&, int) {
     while (hang) std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -185,11 +189,11 @@
   node.config["limits"]["disk_mb"] = 0.1;
   ASSERT_TRUE(node.Start());
   const std::string body(10000, 'x');
-  int taken = 0;
+  int accepted = 0;
   for (int i = 0; i < 10; ++i)
-    taken += Enqueue("m" + std::to_string(i), "c=safe,d=60000,dest=7", body) == "+OK";
-  EXPECT_GE(taken, 1);
-  EXPECT_LE(taken, 4);
+    accepted += Enqueue("m" + std::to_string(i), "c=safe,d=60000,dest=7", body) == "+OK";
+  EXPECT_GE(accepted, 1);
+  EXPECT_LE(accepted, 4);
   hang = false;
   EXPECT_TRUE(Eventually([&] { return Enqueue("later", "c=safe,d=60000,dest=7", body) == "+OK"; }));
   std::uintmax_t on_disk = 0;
@@ -198,7 +202,7 @@
   EXPECT_LE(on_disk, 100000u);
 }
 
-TEST_F(NodeTest, AClientThatLeavesBeforeItsAnswerHasWithdrawn) {
+TEST_F(NodeTest, ClientThatClosesBeforeItsAnswerWithdrawsItsMessage) {
   EndpointStandIn endpoint;
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ListSettler();
@@ -206,7 +210,7 @@
   {
     ClientStandIn client(node.port);
     ASSERT_EQ(client.Ask(ClientStandIn::Command({"PING"})), "+PONG");
-    node.Signal(SIGSTOP);  // so that request and end are read together
+    node.Signal(SIGSTOP);  // so that the node reads the command and the end of the connection together
     ASSERT_TRUE(client.Write(ClientStandIn::Enqueue("gone", "c=unsafe,d=60000,dest=7")));
   }
   node.Signal(SIGCONT);
--- a/tests/node_watch_test.cpp
+++ b/tests/node_watch_test.cpp
@@ -1,5 +1,5 @@
-// Settings watched before they are in force: what is counted, and that nothing is changed by it. The watcher
-// alone, and the built program against stand-ins on loopback.
+// Shadow evaluation of settings that are not in force: which differences it counts, and that it changes no
+// decision. Tests the evaluation alone, and the built program against stand-ins on loopback.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -17,125 +17,130 @@
 
 constexpr Micros kStart = seconds(100);
 
-// A decider with a watcher beside it, fed as the node feeds both.
-class Pair : public TestNode {
+// A delivery policy with a shadow evaluation, both fed the same events as in the node.
+class ShadowedNode : public TestNode {
  public:
-  Pair(const Settings& settings, const ShadowSettings& watched)
-      : TestNode(settings), watcher(watched, settings) {}
+  ShadowedNode(const Settings& settings, const ShadowSettings& shadow_settings)
+      : TestNode(settings), shadow(shadow_settings, settings) {}
 
-  void Both(Micros now, const std::function<void(ShadowEvaluation&)>& events) {
+  // Runs a turn with the events on both, and reports the policy's decisions to the evaluation.
+  void RunTurn(Micros now, const std::function<void(ShadowEvaluation&)>& events) {
     now_ = now;
-    watcher.OnTurnStart(now);
+    shadow.OnTurnStart(now);
     const std::size_t sent_before = sends.size();
     const auto refused_before = refused;
     const auto failed_before = failed;
-    Turn(now, [&] { events(watcher); });
+    Turn(now, [&] { events(shadow); });
     for (std::size_t i = sent_before; i < sends.size(); ++i)
-      watcher.RecordSent(sends[i].id, sends[i].endpoint);
+      shadow.RecordSent(sends[i].id, sends[i].endpoint);
     for (const auto& [id, wait] : refused)
-      if (!refused_before.contains(id)) watcher.RecordRefused(id);
+      if (!refused_before.contains(id)) shadow.RecordRefused(id);
     for (const auto& [id, at] : failed)
-      if (!failed_before.contains(id)) watcher.RecordFailed(id);
-    watcher.OnTurnEnd();
+      if (!failed_before.contains(id)) shadow.RecordFailed(id);
+    shadow.OnTurnEnd();
   }
-  void List(ShadowEvaluation& w, const std::vector<Endpoint>& entries) {
+  void UpdateBothLists(ShadowEvaluation& evaluation, const std::vector<Endpoint>& entries) {
     TestNode::UpdateList(entries);
-    w.OnList(entries, true);
+    evaluation.OnList(entries, true);
   }
-  void Take(ShadowEvaluation& w, MessageId id, std::uint64_t destination) {
+  void AcceptInBoth(ShadowEvaluation& evaluation, MessageId id, std::uint64_t destination) {
     TestNode::Enqueue(id, destination);
     Message message;
     message.id = id;
     message.deadline = now_ + seconds(20);
     message.destination = destination;
     message.rules = BaseSettings().classes[0];
-    w.OnMessage(message);
+    evaluation.OnMessage(message);
   }
-  void Settle(ShadowEvaluation& w, MessageId id, Result result) {
+  void ReportInBoth(ShadowEvaluation& evaluation, MessageId id, Result result) {
     Outcome outcome;
     for (const SendRecord& sent : sends)
-      if (sent.id == id) outcome.endpoint = sent.endpoint, outcome.latency = now_ - sent.at;  // as TestNode's
+      if (sent.id == id) {  // as TestNode does
+        outcome.endpoint = sent.endpoint;
+        outcome.latency = now_ - sent.at;
+      }
     TestNode::ReportOutcome(id, Reply{result}, result == Result::kOk);
     outcome.id = id;
     outcome.result = result;
     outcome.last = result == Result::kOk;
-    w.OnOutcome(outcome);
+    evaluation.OnOutcome(outcome);
   }
   std::uint64_t Differences() const {
-    std::uint64_t all = 0;
+    std::uint64_t total = 0;
     for (std::size_t i = 0; i < node::kShadowDifferences; ++i)
-      all += watcher.Count(static_cast<ShadowDifference>(i));
-    return all;
+      total += shadow.Count(static_cast<ShadowDifference>(i));
+    return total;
   }
 
-  ShadowEvaluation watcher;
+  ShadowEvaluation shadow;
 
  private:
   Micros now_{0};
 };
 
-// The same random history for both.
-void Play(Pair& pair, std::uint32_t seed) {
+// Runs a random history, from the seed, on the policy and the evaluation.
+void PlayRandomHistory(ShadowedNode& node, std::uint32_t seed) {
   std::mt19937 random(seed);
   MessageId id = 0;
-  pair.Both(kStart, [&](ShadowEvaluation& w) {
-    pair.List(w, {TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
+  node.RunTurn(kStart, [&](ShadowEvaluation& evaluation) {
+    node.UpdateBothLists(evaluation, {TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
   });
   for (int step = 1; step < 400; ++step) {
-    pair.Both(kStart + milliseconds(20) * step, [&](ShadowEvaluation& w) {
-      if (random() % 4 == 0) pair.Take(w, ++id, 7 + random() % 2);
-      for (std::size_t i = 0; i < pair.sends.size(); ++i) {
-        if (pair.sends[i].settled || random() % 5 != 0) continue;
+    node.RunTurn(kStart + milliseconds(20) * step, [&](ShadowEvaluation& evaluation) {
+      if (random() % 4 == 0) node.AcceptInBoth(evaluation, ++id, 7 + random() % 2);
+      for (std::size_t i = 0; i < node.sends.size(); ++i) {
+        if (node.sends[i].settled || random() % 5 != 0) continue;
         const Result results[] = {Result::kOk, Result::kOk, Result::kRefused, Result::kError,
                                   Result::kNoConnection};
-        const MessageId of = pair.sends[i].id;
-        pair.Settle(w, of, results[random() % 5]);
+        const MessageId message_id = node.sends[i].id;
+        node.ReportInBoth(evaluation, message_id, results[random() % 5]);
       }
     });
   }
 }
 
-TEST(Watched, TheSameSettingsCountNothing) {
+TEST(ShadowEvaluationTest, EqualSettingsCountNoDifference) {
   for (std::uint32_t seed = 1; seed <= 10; ++seed) {
-    Pair pair(BaseSettings(), ShadowSettings{});
-    Play(pair, seed);
-    EXPECT_GE(pair.sends.size(), 10u);
-    EXPECT_EQ(pair.Differences(), 0u) << seed << ": " << pair.watcher.Summary();
-    EXPECT_EQ(pair.watcher.Summary(), "");
+    ShadowedNode node(BaseSettings(), ShadowSettings{});
+    PlayRandomHistory(node, seed);
+    EXPECT_GE(node.sends.size(), 10u);
+    EXPECT_EQ(node.Differences(), 0u) << seed << ": " << node.shadow.Summary();
+    EXPECT_EQ(node.shadow.Summary(), "");
   }
 }
 
-TEST(Watched, FewerAttemptsAreCountedAsRefusedAndAMessageCountsOnce) {
-  ShadowSettings watched;
-  watched.max_attempts = 1;
-  Pair pair(BaseSettings(), watched);
-  pair.Both(kStart, [&](ShadowEvaluation& w) {
-    pair.List(w, {TestNode::MakeEndpoint(7, "a")});
-    pair.Take(w, 1, 7);
+TEST(ShadowEvaluationTest, FewerAttemptsCountAsRefusedOncePerMessage) {
+  ShadowSettings shadow_settings;
+  shadow_settings.max_attempts = 1;
+  ShadowedNode node(BaseSettings(), shadow_settings);
+  node.RunTurn(kStart, [&](ShadowEvaluation& evaluation) {
+    node.UpdateBothLists(evaluation, {TestNode::MakeEndpoint(7, "a")});
+    node.AcceptInBoth(evaluation, 1, 7);
+  });
+  ASSERT_EQ(node.CountSends(MessageId{1}), 1);
+  EXPECT_EQ(node.Differences(), 0u);
+  node.RunTurn(kStart + milliseconds(100), [&](ShadowEvaluation& evaluation) {
+    node.ReportInBoth(evaluation, 1, Result::kNoConnection);
   });
-  ASSERT_EQ(pair.CountSends(MessageId{1}), 1);
-  EXPECT_EQ(pair.Differences(), 0u);
-  pair.Both(kStart + milliseconds(100),
-            [&](ShadowEvaluation& w) { pair.Settle(w, 1, Result::kNoConnection); });
-  EXPECT_EQ(pair.watcher.Count(ShadowDifference::kRefused), 1u);
-  for (int i = 1; i < 50; ++i) pair.Both(kStart + milliseconds(100 + 20 * i), [](ShadowEvaluation&) {});
-  EXPECT_EQ(pair.Differences(), 1u);
-  EXPECT_EQ(pair.watcher.compared(), 0u);
-  EXPECT_TRUE(pair.answers.empty());  // the message itself is held as before
+  EXPECT_EQ(node.shadow.Count(ShadowDifference::kRefused), 1u);
+  for (int i = 1; i < 50; ++i) node.RunTurn(kStart + milliseconds(100 + 20 * i), [](ShadowEvaluation&) {});
+  EXPECT_EQ(node.Differences(), 1u);
+  EXPECT_EQ(node.shadow.compared(), 0u);
+  EXPECT_TRUE(node.answers.empty());  // the message itself stays pending as before
 }
 
-TEST(Watched, MoreSendersAreCountedAsWaiting) {
-  ShadowSettings watched;
-  watched.senders = 200;
-  Pair pair(BaseSettings(), watched);
-  Play(pair, 3);
-  EXPECT_GT(pair.watcher.Count(ShadowDifference::kWaited), 0u);
-  EXPECT_LE(pair.Differences(), pair.watcher.messages());
+TEST(ShadowEvaluationTest, MoreSendersCountAsWaiting) {
+  ShadowSettings shadow_settings;
+  shadow_settings.senders = 200;
+  ShadowedNode node(BaseSettings(), shadow_settings);
+  PlayRandomHistory(node, 3);
+  EXPECT_GT(node.shadow.Count(ShadowDifference::kWaited), 0u);
+  EXPECT_LE(node.Differences(), node.shadow.messages());
 }
 
-class WatchTest : public NodeTest {
+class ShadowEvaluationOfNodeTest : public NodeTest {
  protected:
-  static std::string Watch(bool on, const std::string& more) {
+  static std::string WatchTable(bool on, const std::string& more) {
     return std::string("[watch]\non = ") + (on ? "true\n" : "false\n") + more;
   }
   std::string Toml(const std::string& more) const {
@@ -149,9 +154,9 @@
     return nlohmann::json::parse(node.Command("status --json").second, nullptr, false)
         .value("watch", nlohmann::json());
   }
-  // A destination whose every first call is turned away; both calls of each message, and its end, are
-  // counted.
-  int Serve(int messages) {
+  // Delivers messages to a destination that rejects every other call, and returns the number of calls that it
+  // received.
+  int DeliverWithFirstCallsRejected(int messages) {
     EndpointStandIn endpoint([](Socket& socket, const HttpRequest&, int n) {
       return socket.Write(Answer(n % 2 == 1 ? 503 : 200));
     });
@@ -166,9 +171,9 @@
   }
 };
 
-TEST_F(WatchTest, EqualSettingsCountNothingAndTheLogSaysIt) {
-  node.toml = Toml(Watch(true, ""));
-  Serve(2);
+TEST_F(ShadowEvaluationOfNodeTest, EqualSettingsCountNoDifferenceAndAreLogged) {
+  node.toml = Toml(WatchTable(true, ""));
+  DeliverWithFirstCallsRejected(2);
   const nlohmann::json watch = Status();
   ASSERT_TRUE(watch.is_object());
   EXPECT_GE(watch.at("messages").get<int>(), 2);
@@ -178,17 +183,17 @@
   EXPECT_NE(node.log().find("watch messages="), std::string::npos);
 }
 
-TEST_F(WatchTest, OtherSettingsAreCountedAndChangeNoCall) {
-  node.toml = Toml(Watch(true, "max_attempts = 1\nsenders = 300\n"));
-  const int calls = Serve(2);
-  EXPECT_GE(calls, 3);  // a second attempt was made: the settings in force hold, not the watched ones
+TEST_F(ShadowEvaluationOfNodeTest, OtherSettingsCountDifferencesAndChangeNoCall) {
+  node.toml = Toml(WatchTable(true, "max_attempts = 1\nsenders = 300\n"));
+  const int calls = DeliverWithFirstCallsRejected(2);
+  EXPECT_GE(calls, 3);  // a second attempt was made: the settings in force apply, not the evaluated ones
   EXPECT_GE(Status().at("otherwise").at("refused").get<int>(), 1);
   EXPECT_FALSE(HasNotice("m0", "failed"));
 }
 
-TEST_F(WatchTest, OffByDefaultAndWithoutAWordInStatus) {
-  node.toml = Toml(Watch(false, "max_attempts = 1\n"));
-  Serve(1);
+TEST_F(ShadowEvaluationOfNodeTest, DisabledEvaluationIsAbsentFromStatus) {
+  node.toml = Toml(WatchTable(false, "max_attempts = 1\n"));
+  DeliverWithFirstCallsRejected(1);
   EXPECT_TRUE(Status().is_null());
   EXPECT_EQ(node.Command("status").second.find("watch:"), std::string::npos);
 }
--- a/tests/node_zone_numbers_test.cpp
+++ b/tests/node_zone_numbers_test.cpp
@@ -1,4 +1,4 @@
-// Which listed endpoints count as of one zone.
+// Which listed endpoints count as members of one zone.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -12,9 +12,9 @@
 
 const std::map<std::string, int> kZones = {{"a", 0}, {"b", 1}};
 
-// All sites that the settings do not have were one zone: a keyed message whose repeats only its zone drops
-// was repeated in another one.
-TEST(ZoneNumbers, SitesThatTheSettingsDoNotHaveAreZonesOfTheirOwn) {
+// Guards against a single zone number for all sites that the settings do not contain: a keyed message whose
+// duplicates only its own zone recognises would be repeated in another zone.
+TEST(ZoneNumbers, SitesMissingInTheSettingsAreSeparateZones) {
   ZoneNumbers zones;
   EXPECT_EQ(zones.Of(kZones, "a", "s-1"), 0);
   EXPECT_EQ(zones.Of(kZones, "b", "s-2"), 1);
@@ -23,8 +23,8 @@
   EXPECT_EQ(zones.Of(kZones, "c", "s-5"), c);
 }
 
-// The same for endpoints of which the list names no site.
-TEST(ZoneNumbers, AnEndpointWithoutASiteIsAZoneOfItsOwn) {
+// The same for endpoints without a site in the list.
+TEST(ZoneNumbers, EndpointWithoutASiteIsASeparateZone) {
   ZoneNumbers zones;
   const int one = zones.Of(kZones, "", "s-1"), other = zones.Of(kZones, "", "s-2");
   const int named = zones.Of(kZones, "s-1", "s-3");
