--- a/tests/fault_plan.h
+++ b/tests/fault_plan.h
@@ -1,5 +1,5 @@
-// What a test asks of fault_shim.cpp, shared through a mapped file: which calls to the system fail, how, and
-// how many did. All fields may change while the node runs.
+// The fault plan that a test shares with fault_shim.cpp through a mapped file: which system calls fail and
+// how, and the count of those that did. All fields may change while the node runs.
 #pragma once
 
 #include <atomic>
@@ -7,17 +7,19 @@
 
 namespace indigosaddle::testing {
 
+// The faults to inject. The fields for system calls hold an errno, or 0 for no fault.
 struct FaultPlan {
-  // An errno, 0: none. Sockets: while it is set each call fails. EINTR: every second one, as signals would.
+  // While one of these is set, every such call on a socket fails. With EINTR only every second one does, as
+  // signals would cause.
   std::atomic<int> accept, socket, connect;
-  std::atomic<int> read_socket, write_socket;  // on connections that are up: every eighth call
-  std::atomic<int> slow_close;  // milliseconds that the close of a listening socket takes to begin
-  std::atomic<int> short_io;    // 1: reads and writes on sockets take a byte or a few at a time
-  // Files of the state folder, while it is set.
+  std::atomic<int> read_socket, write_socket;  // every eighth call on established connections
+  std::atomic<int> slow_close_ms;              // delay before a listening socket is closed, in milliseconds
+  std::atomic<int> short_io;  // 1: reads and writes on sockets transfer a few bytes at a time
+  // While one of these is set, every such call on files of the state folder fails.
   std::atomic<int> write_file, open_file, rename_file, sync_file;
-  std::atomic<int> half;       // 1: a write that fails has written half of its bytes
-  std::atomic<int> kill_half;  // 1: the process ends by SIGKILL behind the first half of its next write
-  std::atomic<std::uint64_t> failed;
+  std::atomic<int> fail_half_written;  // 1: a failing write first writes half of its bytes
+  std::atomic<int> kill_half_written;  // 1: SIGKILL ends the process after half of its next write
+  std::atomic<std::uint64_t> faults;   // how many calls failed or were delayed so far
 };
 
 }  // namespace indigosaddle::testing
--- a/tests/fault_shim.cpp
+++ b/tests/fault_shim.cpp
@@ -1,6 +1,7 @@
-// Loaded into the built node by LD_PRELOAD: calls to the system fail as the FaultPlan in a mapped file says.
+// Loaded into the built node by LD_PRELOAD: makes system calls fail as the FaultPlan in a mapped file says.
 //
-//   FAULT_SHIM_PLAN  the file        FAULT_SHIM_FOLDER  whose files fail
+//   FAULT_SHIM_PLAN    path of the mapped file
+//   FAULT_SHIM_FOLDER  folder whose files fail
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <signal.h>
@@ -23,38 +24,41 @@
 
 using indigosaddle::testing::FaultPlan;
 
+// The plan of this process; one without faults if no file is mapped.
 FaultPlan& Plan() {
-  static FaultPlan none{};
+  static FaultPlan no_faults{};
   static FaultPlan* const plan = [] {
     const char* path = std::getenv("FAULT_SHIM_PLAN");
     const long file = path == nullptr ? -1 : syscall(SYS_openat, AT_FDCWD, path, O_RDWR | O_CLOEXEC);
-    if (file < 0) return &none;
+    if (file < 0) return &no_faults;
     void* mapped =
         mmap(nullptr, sizeof(FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED, static_cast<int>(file), 0);
     syscall(SYS_close, file);
-    return mapped == MAP_FAILED ? &none : static_cast<FaultPlan*>(mapped);
+    return mapped == MAP_FAILED ? &no_faults : static_cast<FaultPlan*>(mapped);
   }();
   return *plan;
 }
 
+// The next definition of a function behind this library, usually libc's.
 template <typename F>
-F Next(F, const char* name) {
+F NextDefinition(F, const char* name) {
   return reinterpret_cast<F>(dlsym(RTLD_NEXT, name));
 }
 
-bool Fails(const std::atomic<int>& error, unsigned one_of = 1) {
+// Whether this call is to fail with `error`, of which one in `interval` does; sets errno if so.
+bool ShouldFail(const std::atomic<int>& error, unsigned interval = 1) {
   static std::atomic<unsigned> calls{0};
-  const int number = error.load();
-  if (number == 0) return false;
-  if (calls++ % (number == EINTR ? std::max(2u, one_of) : one_of) != 0) return false;
-  ++Plan().failed;
-  errno = number;
+  const int error_number = error.load();
+  if (error_number == 0) return false;
+  if (calls++ % (error_number == EINTR ? std::max(2u, interval) : interval) != 0) return false;
+  ++Plan().faults;
+  errno = error_number;
   return true;
 }
 
-bool Is(int descriptor, mode_t kind) {
-  struct stat about {};
-  return descriptor > 2 && fstat(descriptor, &about) == 0 && (about.st_mode & S_IFMT) == kind;
+bool IsOfType(int descriptor, mode_t type) {
+  struct stat status {};
+  return descriptor > 2 && fstat(descriptor, &status) == 0 && (status.st_mode & S_IFMT) == type;
 }
 
 bool InFolder(const char* path) {
@@ -62,11 +66,12 @@
   return folder != nullptr && std::strncmp(path, folder, std::strlen(folder)) == 0;
 }
 
-constexpr unsigned kOneOf = 8;  // calls on connections
-constexpr size_t kFewBytes = 7;
+constexpr unsigned kConnectionFaultInterval = 8;  // one of so many calls on connections fails
+constexpr size_t kShortTransferBytes = 7;
 
-size_t Part(int descriptor, size_t size) {
-  return Plan().short_io != 0 && Is(descriptor, S_IFSOCK) ? std::min(size, kFewBytes) : size;
+// The size of a transfer, cut to a few bytes on sockets if the plan asks for short transfers.
+size_t TransferSize(int descriptor, size_t size) {
+  return Plan().short_io != 0 && IsOfType(descriptor, S_IFSOCK) ? std::min(size, kShortTransferBytes) : size;
 }
 
 }  // namespace
@@ -74,86 +79,91 @@
 extern "C" {
 
 int accept4(int descriptor, sockaddr* from, socklen_t* size, int flags) {
-  static const auto next = Next(&accept4, "accept4");
-  return Fails(Plan().accept) ? -1 : next(descriptor, from, size, flags);
+  static const auto next = NextDefinition(&accept4, "accept4");
+  return ShouldFail(Plan().accept) ? -1 : next(descriptor, from, size, flags);
 }
 
 int socket(int family, int type, int protocol) noexcept {
-  static const auto next = Next(&socket, "socket");
-  return Fails(Plan().socket) ? -1 : next(family, type, protocol);
+  static const auto next = NextDefinition(&socket, "socket");
+  return ShouldFail(Plan().socket) ? -1 : next(family, type, protocol);
 }
 
 int connect(int descriptor, const sockaddr* to, socklen_t size) {
-  static const auto next = Next(&connect, "connect");
-  return Fails(Plan().connect) ? -1 : next(descriptor, to, size);
+  static const auto next = NextDefinition(&connect, "connect");
+  return ShouldFail(Plan().connect) ? -1 : next(descriptor, to, size);
 }
 
 ssize_t read(int descriptor, void* bytes, size_t size) {
-  static const auto next = Next(&read, "read");
-  if (Plan().read_socket != 0 && Is(descriptor, S_IFSOCK) && Fails(Plan().read_socket, kOneOf)) return -1;
-  return next(descriptor, bytes, Part(descriptor, size));
+  static const auto next = NextDefinition(&read, "read");
+  if (Plan().read_socket != 0 && IsOfType(descriptor, S_IFSOCK) &&
+      ShouldFail(Plan().read_socket, kConnectionFaultInterval))
+    return -1;
+  return next(descriptor, bytes, TransferSize(descriptor, size));
 }
 
 ssize_t write(int descriptor, const void* bytes, size_t size) {
-  static const auto next = Next(&write, "write");
-  if (Plan().write_socket != 0 && Is(descriptor, S_IFSOCK) && Fails(Plan().write_socket, kOneOf)) return -1;
-  const bool file = (Plan().write_file != 0 || Plan().kill_half != 0) && Is(descriptor, S_IFREG);
-  if (file && Plan().kill_half != 0) {
+  static const auto next = NextDefinition(&write, "write");
+  if (Plan().write_socket != 0 && IsOfType(descriptor, S_IFSOCK) &&
+      ShouldFail(Plan().write_socket, kConnectionFaultInterval))
+    return -1;
+  const bool file =
+      (Plan().write_file != 0 || Plan().kill_half_written != 0) && IsOfType(descriptor, S_IFREG);
+  if (file && Plan().kill_half_written != 0) {
     next(descriptor, bytes, size / 2);
     syscall(SYS_kill, getpid(), SIGKILL);
   }
-  if (file && Fails(Plan().write_file)) {
+  if (file && ShouldFail(Plan().write_file)) {
     const int error = errno;
-    if (Plan().half != 0 && size > 1) return next(descriptor, bytes, size / 2);
+    if (Plan().fail_half_written != 0 && size > 1) return next(descriptor, bytes, size / 2);
     errno = error;
     return -1;
   }
-  return next(descriptor, bytes, Part(descriptor, size));
+  return next(descriptor, bytes, TransferSize(descriptor, size));
 }
 
 ssize_t writev(int descriptor, const iovec* parts, int count) {
   if (count == 1) return write(descriptor, parts->iov_base, parts->iov_len);
-  static const auto next = Next(&writev, "writev");
+  static const auto next = NextDefinition(&writev, "writev");
   return next(descriptor, parts, count);
 }
 
 int close(int descriptor) {
-  static const auto next = Next(&close, "close");
-  int listens = 0;
-  socklen_t size = sizeof listens;
-  if (Plan().slow_close != 0 && getsockopt(descriptor, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) == 0 &&
-      listens != 0) {
-    ++Plan().failed;
-    usleep(static_cast<useconds_t>(Plan().slow_close) * 1000);
+  static const auto next = NextDefinition(&close, "close");
+  int listening = 0;
+  socklen_t size = sizeof listening;
+  if (Plan().slow_close_ms != 0 &&
+      getsockopt(descriptor, SOL_SOCKET, SO_ACCEPTCONN, &listening, &size) == 0 && listening != 0) {
+    ++Plan().faults;
+    usleep(static_cast<useconds_t>(Plan().slow_close_ms) * 1000);
   }
   return next(descriptor);
 }
 
 int open(const char* path, int flags, ...) {
-  static const auto next = Next(&open, "open");
+  static const auto next = NextDefinition(&open, "open");
   mode_t mode = 0;
   if ((flags & O_CREAT) != 0) {
-    va_list more;
-    va_start(more, flags);
-    mode = va_arg(more, mode_t);
-    va_end(more);
+    va_list arguments;
+    va_start(arguments, flags);
+    mode = va_arg(arguments, mode_t);
+    va_end(arguments);
   }
-  return InFolder(path) && Fails(Plan().open_file) ? -1 : next(path, flags, mode);
+  return InFolder(path) && ShouldFail(Plan().open_file) ? -1 : next(path, flags, mode);
 }
 
 int rename(const char* from, const char* to) noexcept {
-  static const auto next = Next(&rename, "rename");
-  return InFolder(to) && Fails(Plan().rename_file) ? -1 : next(from, to);
+  static const auto next = NextDefinition(&rename, "rename");
+  return InFolder(to) && ShouldFail(Plan().rename_file) ? -1 : next(from, to);
 }
 
 int fsync(int descriptor) {
-  static const auto next = Next(&fsync, "fsync");
-  return Fails(Plan().sync_file) ? -1 : next(descriptor);
+  static const auto next = NextDefinition(&fsync, "fsync");
+  return ShouldFail(Plan().sync_file) ? -1 : next(descriptor);
 }
 
 int fdatasync(int descriptor) {
-  static const auto next = Next(&fdatasync, "fdatasync");
-  return Fails(Plan().sync_file) ? -1 : next(descriptor);
+  static const auto next = NextDefinition(&fdatasync, "fdatasync");
+  return ShouldFail(Plan().sync_file) ? -1 : next(descriptor);
 }
 
 }  // extern "C"
--- a/tests/kill_shim.cpp
+++ b/tests/kill_shim.cpp
@@ -1,9 +1,10 @@
-// Loaded into the built node by LD_PRELOAD: ends the process by SIGKILL in front of the n-th call to the
-// system by which bytes, files or connections change, counted from the first read in which a given text has
-// come. So a test forces a kill between each two steps that anybody outside can see.
+// Loaded into the built node by LD_PRELOAD: ends the process by SIGKILL before the n-th system call that
+// changes bytes, files or connections, counted from the first read that returns a given text. With it a test
+// forces a kill between any two steps that are visible from outside.
 //
-//   KILL_SHIM_AFTER  the text         KILL_SHIM_AT  n, from 1
-//   KILL_SHIM_TOLD   a file that takes the name of the step in front of which the process was ended
+//   KILL_SHIM_AFTER  the text
+//   KILL_SHIM_AT     n, from 1
+//   KILL_SHIM_TOLD   file that receives the name of the step before which the process was killed
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <signal.h>
@@ -20,29 +21,32 @@
 namespace {
 
 bool counting = false;
-long seen = 0;
+long steps = 0;
 
+// The next definition of a function behind this library, usually libc's.
 template <typename F>
-F Next(F, const char* name) {
+F NextDefinition(F, const char* name) {
   return reinterpret_cast<F>(dlsym(RTLD_NEXT, name));
 }
 
-void Step(const char* name) {
-  static const char* const at = std::getenv("KILL_SHIM_AT");
-  if (!counting || at == nullptr || ++seen != std::atol(at)) return;
-  if (const char* told = std::getenv("KILL_SHIM_TOLD")) {
-    const long file = syscall(SYS_openat, AT_FDCWD, told, O_WRONLY | O_CREAT | O_TRUNC, 0600);
+// Counts a step and ends the process if it is the one asked for.
+void CountStep(const char* name) {
+  static const char* const kill_step = std::getenv("KILL_SHIM_AT");
+  if (!counting || kill_step == nullptr || ++steps != std::atol(kill_step)) return;
+  if (const char* report_path = std::getenv("KILL_SHIM_TOLD")) {
+    const long file = syscall(SYS_openat, AT_FDCWD, report_path, O_WRONLY | O_CREAT | O_TRUNC, 0600);
     syscall(SYS_write, file, name, std::strlen(name));
   }
   syscall(SYS_kill, getpid(), SIGKILL);
 }
 
-// A step on a file or a socket; nothing on the log, nor on what wakes the loop.
-void StepOn(int descriptor, const char* on_file, const char* on_socket) {
-  struct stat about {};
-  if (!counting || descriptor <= 2 || fstat(descriptor, &about) != 0) return;
-  if (S_ISREG(about.st_mode)) Step(on_file);
-  if (S_ISSOCK(about.st_mode)) Step(on_socket);
+// Counts a step on a file or a socket. Calls on the log and on the wake-up descriptor of the loop don't
+// count.
+void CountStepOn(int descriptor, const char* file_step, const char* socket_step) {
+  struct stat status {};
+  if (!counting || descriptor <= 2 || fstat(descriptor, &status) != 0) return;
+  if (S_ISREG(status.st_mode)) CountStep(file_step);
+  if (S_ISSOCK(status.st_mode)) CountStep(socket_step);
 }
 
 }  // namespace
@@ -50,8 +54,8 @@
 extern "C" {
 
 ssize_t read(int descriptor, void* bytes, size_t size) {
-  static const auto next = Next(&read, "read");
-  StepOn(descriptor, "read file", "read socket");
+  static const auto next = NextDefinition(&read, "read");
+  CountStepOn(descriptor, "read file", "read socket");
   const ssize_t count = next(descriptor, bytes, size);
   static const char* const after = std::getenv("KILL_SHIM_AFTER");
   if (!counting && after != nullptr && count > 0)
@@ -60,26 +64,26 @@
 }
 
 ssize_t write(int descriptor, const void* bytes, size_t size) {
-  static const auto next = Next(&write, "write");
-  StepOn(descriptor, "write file", "write socket");
+  static const auto next = NextDefinition(&write, "write");
+  CountStepOn(descriptor, "write file", "write socket");
   return next(descriptor, bytes, size);
 }
 
 ssize_t writev(int descriptor, const iovec* parts, int count) {
-  static const auto next = Next(&writev, "writev");
-  StepOn(descriptor, "write file", "write socket");
+  static const auto next = NextDefinition(&writev, "writev");
+  CountStepOn(descriptor, "write file", "write socket");
   return next(descriptor, parts, count);
 }
 
 int connect(int descriptor, const sockaddr* to, socklen_t size) {
-  static const auto next = Next(&connect, "connect");
-  StepOn(descriptor, "", "connect");
+  static const auto next = NextDefinition(&connect, "connect");
+  CountStepOn(descriptor, "", "connect");
   return next(descriptor, to, size);
 }
 
 int rename(const char* from, const char* to) {
-  static const auto next = Next(&rename, "rename");
-  Step("rename");
+  static const auto next = NextDefinition(&rename, "rename");
+  CountStep("rename");
   return next(from, to);
 }
 
--- a/tests/mapped_fault_plan.h
+++ b/tests/mapped_fault_plan.h
@@ -1,4 +1,5 @@
-// A FaultPlan in a mapped file, and the variables by which a process loads fault_shim.cpp with it.
+// A FaultPlan in a mapped file, and the environment variables that make a process load fault_shim.cpp with
+// it.
 #pragma once
 
 #include <fcntl.h>
@@ -15,9 +16,10 @@
 
 namespace indigosaddle::testing {
 
+// Owns the mapping of a fault plan; the file itself is left to the caller.
 class MappedFaultPlan {
  public:
-  // `file` is made; files whose paths begin with `folder` are those that fail.
+  // Creates `file`. The faults of files apply to paths that begin with `folder`.
   MappedFaultPlan(const std::string& file, std::string folder) : file_(file), folder_(std::move(folder)) {
     const int descriptor = open(file.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     EXPECT_EQ(ftruncate(descriptor, sizeof(FaultPlan)), 0);
@@ -29,6 +31,7 @@
   MappedFaultPlan(const MappedFaultPlan&) = delete;
   MappedFaultPlan& operator=(const MappedFaultPlan&) = delete;
 
+  // Environment variables, each as NAME=value.
   std::vector<std::string> Variables() const {
     return {std::string("LD_PRELOAD=") + INDIGOSADDLE_FAULT_SHIM, "ASAN_OPTIONS=verify_asan_link_order=0",
             "FAULT_SHIM_PLAN=" + file_, "FAULT_SHIM_FOLDER=" + folder_};
--- a/tests/node_faults_test.cpp
+++ b/tests/node_faults_test.cpp
@@ -1,5 +1,5 @@
-// Calls on sockets fail for a while under the built node (fault_shim.cpp): what it took on still has its one
-// final answer in time, what comes meanwhile is answered, and the node goes on.
+// Socket calls of the built node fail for a while (fault_shim.cpp). Accepted messages still get their one
+// final result in time, commands that arrive meanwhile are answered, and the node keeps running.
 #include <gtest/gtest.h>
 
 #include <cerrno>
@@ -14,9 +14,9 @@
 
 class AcceptFails : public SystemFaults, public ::testing::WithParamInterface<int> {};
 
-// Those that connect meanwhile wait in the system's queue, and are answered once it passes; the loop is not
-// held up: a call that is out is answered meanwhile.
-TEST_P(AcceptFails, ClientsAreAnsweredOnceItPassesAndTheLoopRunsOn) {
+// Clients that connect meanwhile wait in the system's queue and are answered once accept works again. The
+// loop does not stall: a call in flight is answered meanwhile.
+TEST_P(AcceptFails, ClientsAreAnsweredOnceItWorksAndTheLoopKeepsRunning) {
   EndpointStandIn endpoint([](Socket& s, const HttpRequest&, int) {
     std::this_thread::sleep_for(milliseconds(300));
     return s.Write(Answer(503));
@@ -26,43 +26,44 @@
   ASSERT_TRUE(EnqueueOnceListed("before", "c=safe,d=60000,dest=7"));
   ASSERT_TRUE(Eventually([&] { return endpoint.CallsFor("before") == 1; }));
   plan->accept = GetParam();
-  std::thread later([&] {
+  std::thread recovery([&] {
     std::this_thread::sleep_for(milliseconds(1500));
     plan->accept = 0;
   });
-  const auto began = Clock::now();
-  const int calls = endpoint.CallsFor("before");
-  ASSERT_TRUE(Eventually([&] { return endpoint.CallsFor("before") > calls; }));
-  const auto again = Clock::now() - began;
+  const auto start = Clock::now();
+  const int calls_before = endpoint.CallsFor("before");
+  ASSERT_TRUE(Eventually([&] { return endpoint.CallsFor("before") > calls_before; }));
+  const auto until_next_call = Clock::now() - start;
   EXPECT_EQ(Enqueue("during", "c=safe,d=60000,dest=7"), "+OK");
-  later.join();
-  EXPECT_LT(again, milliseconds(1400)) << "nothing was done while accept failed";
-  EXPECT_GT(plan->failed, 0u);
-  EXPECT_LT(plan->failed, 2000u) << "it spins";
+  recovery.join();
+  EXPECT_LT(until_next_call, milliseconds(1400)) << "the loop stalled while accept failed";
+  EXPECT_GT(plan->faults, 0u);
+  EXPECT_LT(plan->faults, 2000u) << "the node retries in a busy loop";
 }
 INSTANTIATE_TEST_SUITE_P(Errors, AcceptFails,
                          ::testing::Values(ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM, EPROTO, EINTR),
-                         [](const auto& given) { return std::string(strerrorname_np(given.param)); });
+                         [](const auto& info) { return std::string(strerrorname_np(info.param)); });
 
 class ConnectFails : public SystemFaults, public ::testing::WithParamInterface<std::pair<bool, int>> {};
 
-// To endpoints and to discovery: what was taken on is delivered once it passes, an unsafe message once.
-TEST_P(ConnectFails, WhatWasTakenOnIsDeliveredOnceItPasses) {
+// Connecting to endpoints and to discovery fails: accepted messages are delivered once it works again, and
+// unsafe messages only once.
+TEST_P(ConnectFails, AcceptedMessagesAreDeliveredOnceItWorks) {
   EndpointStandIn endpoint([](Socket& s, const HttpRequest&, int) {
-    return s.Write(Answer(200, "Connection: close\r\n")), false;  // each call connects
+    return s.Write(Answer(200, "Connection: close\r\n")), false;  // each call needs a new connection
   });
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ASSERT_TRUE(node.Start());
   ASSERT_TRUE(EnqueueOnceListed("before", "c=unsafe,d=60000,dest=7"));
   const auto [in_socket, error] = GetParam();
   (in_socket ? plan->socket : plan->connect) = error;
-  platform.EndWatches();  // its list is asked for meanwhile as well
-  std::vector<std::string> taken = Feed("during", milliseconds(1000), "c=unsafe,d=30000,dest=7");
+  platform.EndWatches();  // so the list is requested meanwhile too
+  std::vector<std::string> accepted = EnqueueFor("during", milliseconds(1000), "c=unsafe,d=30000,dest=7");
   (in_socket ? plan->socket : plan->connect) = 0;
-  EXPECT_GT(taken.size(), 10u);
-  EXPECT_LT(plan->failed, 3000u) << "it spins";
-  ExpectDelivered(endpoint, taken);
-  ExpectAllOver(endpoint, taken, true);
+  EXPECT_GT(accepted.size(), 10u);
+  EXPECT_LT(plan->faults, 3000u) << "the node retries in a busy loop";
+  ExpectDelivered(endpoint, accepted);
+  ExpectAllEnded(endpoint, accepted, true);
 }
 INSTANTIATE_TEST_SUITE_P(Errors, ConnectFails,
                          ::testing::Values(std::pair(true, ENFILE), std::pair(true, EMFILE),
@@ -70,33 +71,33 @@
                                            std::pair(false, ENETUNREACH), std::pair(false, ENOBUFS),
                                            std::pair(false, EHOSTUNREACH), std::pair(false, ETIMEDOUT),
                                            std::pair(false, EINTR)),
-                         [](const auto& given) {
-                           return std::string(given.param.first ? "Socket" : "Connect") +
-                                  strerrorname_np(given.param.second);
+                         [](const auto& info) {
+                           return std::string(info.param.first ? "Socket" : "Connect") +
+                                  strerrorname_np(info.param.second);
                          });
 
 class ConnectionBreaks : public SystemFaults, public ::testing::WithParamInterface<std::pair<bool, int>> {};
 
-// Every eighth read or write on a connection fails as one does on a path that broke: no call of an unsafe
-// message is made twice, and every message has its end.
-TEST_P(ConnectionBreaks, EveryMessageHasItsEndAndNoUnsafeOneASecondCall) {
+// Every eighth read or write on a connection fails as on a broken network path: no unsafe message is called
+// twice, and every message gets its result.
+TEST_P(ConnectionBreaks, EveryMessageEndsAndNoUnsafeOneIsCalledTwice) {
   EndpointStandIn endpoint;
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ListSettler();
   ASSERT_TRUE(node.Start());
   ASSERT_TRUE(EnqueueOnceListed("before", "c=safe,d=60000,dest=7"));
-  const auto [reads, error] = GetParam();
-  (reads ? plan->read_socket : plan->write_socket) = error;
-  std::vector<std::string> taken;
+  const auto [in_read, error] = GetParam();
+  (in_read ? plan->read_socket : plan->write_socket) = error;
+  std::vector<std::string> accepted;
   for (int i = 0; i < 40; ++i) {
     const std::string id = "broken-" + std::to_string(i);
     if (Enqueue(id, i % 2 == 0 ? "c=unsafe,d=8000,dest=7" : "c=safe,d=8000,dest=7") == "+OK")
-      taken.push_back(id);
+      accepted.push_back(id);
     std::this_thread::sleep_for(milliseconds(10));
   }
-  (reads ? plan->read_socket : plan->write_socket) = 0;
-  EXPECT_GT(plan->failed, 0u);
-  for (const std::string& id : taken) {
+  (in_read ? plan->read_socket : plan->write_socket) = 0;
+  EXPECT_GT(plan->faults, 0u);
+  for (const std::string& id : accepted) {
     EXPECT_TRUE(Eventually([&] { return endpoint.CallsFor(id) > 0 || platform.notices().contains(id); }))
         << id;
     if (std::stoi(id.substr(7)) % 2 == 0) {
@@ -109,12 +110,12 @@
                          ::testing::Values(std::pair(true, ETIMEDOUT), std::pair(true, EHOSTUNREACH),
                                            std::pair(true, EINTR), std::pair(false, ETIMEDOUT),
                                            std::pair(false, EHOSTUNREACH), std::pair(false, EINTR)),
-                         [](const auto& given) {
-                           return std::string(given.param.first ? "Read" : "Write") +
-                                  strerrorname_np(given.param.second);
+                         [](const auto& info) {
+                           return std::string(info.param.first ? "Read" : "Write") +
+                                  strerrorname_np(info.param.second);
                          });
 
-// Seven bytes at a time, both ways: many commands at once, and a long body.
+// Reads and writes transfer seven bytes at a time, for many pipelined commands and a long body.
 TEST_F(SystemFaults, ShortReadsAndWritesChangeNothing) {
   EndpointStandIn endpoint;
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
--- a/tests/node_folder_faults_test.cpp
+++ b/tests/node_folder_faults_test.cpp
@@ -1,5 +1,5 @@
-// Writes, opens, renames and syncs in the state folder fail for a while under the built node
-// (fault_shim.cpp), and a kill comes in the middle of a write: what was taken on is still owed.
+// Writes, opens, renames and syncs in the state folder of the built node fail for a while (fault_shim.cpp),
+// or the process is killed in the middle of a write. Accepted messages remain pending and are delivered.
 #include <gtest/gtest.h>
 
 #include <cerrno>
@@ -12,41 +12,43 @@
 namespace indigosaddle::testing {
 namespace {
 
-// What fails in the folder, and how it is asked for.
+// A fault of the state folder and the field of the plan that injects it.
 struct FolderFault {
   const char* name = "";
   std::atomic<int> FaultPlan::*call = nullptr;
   int error = 0;
-  bool half = false, killed = false;  // killed: and the process ends before it passes
+  bool half_written = false;  // a failing write writes half of its bytes
+  bool killed = false;        // the process is killed while the fault lasts
 };
 
 class FolderFails : public SystemFaults, public ::testing::WithParamInterface<FolderFault> {};
 
-// What was promised before is delivered; what comes meanwhile is promised and delivered, or not promised.
-TEST_P(FolderFails, WhatWasTakenOnIsStillOwedAndWhatComesIsAnswered) {
+// Messages accepted before the fault are delivered. Commands that arrive meanwhile are either accepted and
+// delivered, or not accepted.
+TEST_P(FolderFails, AcceptedMessagesStayPendingAndNewCommandsAreAnswered) {
   EndpointStandIn endpoint([](Socket& s, const HttpRequest&, int number) {
-    return s.Write(Answer(number < 4 ? 503 : 200));  // some is still held when it begins
+    return s.Write(Answer(number < 4 ? 503 : 200));  // some messages are still pending when the fault begins
   });
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ASSERT_TRUE(node.Start());
-  std::vector<std::string> taken = Feed("before", milliseconds(300), "c=unsafe,d=30000,dest=7");
-  ASSERT_FALSE(taken.empty());
+  std::vector<std::string> accepted = EnqueueFor("before", milliseconds(300), "c=unsafe,d=30000,dest=7");
+  ASSERT_FALSE(accepted.empty());
   const FolderFault& fault = GetParam();
-  plan->half = fault.half ? 1 : 0;
+  plan->fail_half_written = fault.half_written ? 1 : 0;
   (*plan).*fault.call = fault.error;
-  for (std::string& id : Feed("during", milliseconds(1200), "c=unsafe,d=30000,dest=7"))
-    taken.push_back(std::move(id));
+  for (std::string& id : EnqueueFor("during", milliseconds(1200), "c=unsafe,d=30000,dest=7"))
+    accepted.push_back(std::move(id));
   if (fault.killed) node.Kill(SIGKILL);
   (*plan).*fault.call = 0;
   if (fault.killed) {
     ASSERT_TRUE(node.Start());
   }
-  for (std::string& id : Feed("after", milliseconds(300), "c=unsafe,d=30000,dest=7"))
-    taken.push_back(std::move(id));
+  for (std::string& id : EnqueueFor("after", milliseconds(300), "c=unsafe,d=30000,dest=7"))
+    accepted.push_back(std::move(id));
   EXPECT_TRUE(Eventually([&] { return Enqueue("last", "c=unsafe,d=30000,dest=7") == "+OK"; }));
-  taken.emplace_back("last");
-  ExpectAllOver(endpoint, taken, false);
-  for (const std::string& id : taken) {
+  accepted.emplace_back("last");
+  ExpectAllEnded(endpoint, accepted, false);
+  for (const std::string& id : accepted) {
     int delivered = 0;
     for (const HttpRequest& call : endpoint.calls()) delivered += call.headers.at("x-trace-id") == id ? 1 : 0;
     EXPECT_LE(delivered, 5) << id;
@@ -64,11 +66,11 @@
     {"SyncFails", &FaultPlan::sync_file, EIO, false, false},
 };
 INSTANTIATE_TEST_SUITE_P(Faults, FolderFails, ::testing::ValuesIn(kFolderFaults),
-                         [](const auto& given) { return std::string(given.param.name); });
+                         [](const auto& info) { return std::string(info.param.name); });
 
-// The folder takes nothing when the node starts: it serves all the same what it can, and what it resumed is
-// delivered.
-TEST_F(SystemFaults, AStartWhileTheFolderTakesNothing) {
+// The state folder can't be written when the node starts: the node still serves what it can, and delivers the
+// messages that it resumed.
+TEST_F(SystemFaults, AStartWithAFolderThatCannotBeWritten) {
   EndpointStandIn endpoint;
   ASSERT_TRUE(node.Start());
   ASSERT_EQ(Enqueue("owed", "c=unsafe,d=30000,dest=7"), "+OK");
@@ -84,15 +86,15 @@
   EXPECT_EQ(endpoint.CallsFor("refused"), 0);
 }
 
-// A kill in the middle of a write: the half record is not there, all before it is.
+// After a kill in the middle of a write, the truncated record is ignored and all records before it are kept.
 TEST_F(SystemFaults, AKillInTheMiddleOfAWrite) {
   EndpointStandIn endpoint;
   ASSERT_TRUE(node.Start());
   ASSERT_EQ(Enqueue("whole", "c=unsafe,d=30000,dest=7"), "+OK");
-  plan->kill_half = 1;
+  plan->kill_half_written = 1;
   EXPECT_EQ(Enqueue("half", "c=unsafe,d=30000,dest=7"), "");
   node.Wait();
-  plan->kill_half = 0;
+  plan->kill_half_written = 0;
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ASSERT_TRUE(node.Start());
   EXPECT_TRUE(Eventually([&] { return endpoint.CallsFor("whole") == 1; }));
--- a/tests/node_stop_test.cpp
+++ b/tests/node_stop_test.cpp
@@ -97,7 +97,7 @@
 // The process is held up between its last accept and the close.
 TEST_F(StopWithLatecomers, WhoConnectsAsTheListenerClosesIsAnsweredOrNotConnected) {
   ASSERT_TRUE(node.Start());
-  plan->slow_close = 100;
+  plan->slow_close_ms = 100;
   Latecomers clients(node.port, milliseconds(0));
   StopUnder(clients);
 }
@@ -113,7 +113,7 @@
   });
   StopUnder(clients);
   fails.join();
-  EXPECT_GT(plan->failed, 0u);
+  EXPECT_GT(plan->faults, 0u);
 }
 
 // Guards against a reset of who waits in the listener's queue, where accept fails past the end of intake.
@@ -143,10 +143,10 @@
   const auto since = Clock::now();
   std::this_thread::sleep_for(milliseconds(1500));
   plan->write_file = ENOSPC;
-  Feed("full", milliseconds(1000), "c=safe,d=8000,dest=7");
+  EnqueueFor("full", milliseconds(1000), "c=safe,d=8000,dest=7");
   EXPECT_EQ(node.Wait(), 0);
   EXPECT_LE(Clock::now() - since, milliseconds(3550));
-  EXPECT_GT(plan->failed, 0u);
+  EXPECT_GT(plan->faults, 0u);
 }
 
 }  // namespace
--- a/tests/soak_faults.h
+++ b/tests/soak_faults.h
@@ -26,14 +26,14 @@
         *Drawn({&plan_->accept, &plan_->connect, &plan_->socket, &plan_->read_socket, &plan_->write_socket,
                 &plan_->short_io, &plan_->write_file, &plan_->open_file, &plan_->rename_file});
     call = ErrorFor(call);
-    plan_->half = Drawn({0, 1});
+    plan_->fail_half_written = Drawn({0, 1});
     std::this_thread::sleep_for(milliseconds(Drawn({50, 150, 300})));
     call = 0;
-    plan_->half = 0;
+    plan_->fail_half_written = 0;
   }
   // The process dies within its next write to its folder.
-  void KillWithinAWrite() { plan_->kill_half = 1; }
-  void Over() { plan_->kill_half = 0; }
+  void KillWithinAWrite() { plan_->kill_half_written = 1; }
+  void Over() { plan_->kill_half_written = 0; }
 
  private:
   template <typename T>
