--- a/tests/duplicates.h
+++ b/tests/duplicates.h
@@ -25,7 +25,7 @@
   }
 
   // Creates the endpoints, starts the node and waits until it knows their list.
-  void StartWorld(const AnsweringHabits& habits, std::uint64_t seed) {
+  void StartNodeAndEndpoints(const AnsweringHabits& habits, std::uint64_t seed) {
     for (int i = 0; i < 2 * kDestinations; ++i) {
       endpoints.push_back(
           std::make_unique<JudgedEndpoint>(record, later, seed * 100 + endpoints.size(), habits));
--- a/tests/node_duplicates_test.cpp
+++ b/tests/node_duplicates_test.cpp
@@ -22,7 +22,7 @@
 // Guards against a call that is ended by the response to another call, which loses messages or makes two
 // calls at once.
 TEST_P(DuplicatedResponsesTest, EndNoOtherCall) {
-  StartWorld(GetParam().habits, 1);
+  StartNodeAndEndpoints(GetParam().habits, 1);
   EnqueueAndFinish(milliseconds(6000));
   EXPECT_GT(Copies(), 20);
   ExpectNoneLostOrConcurrent();
@@ -60,7 +60,7 @@
 class DuplicatedNoticeAnswers : public DuplicatesTest {
  protected:
   void Run(const std::string& answer, int max_delay_millis, bool leaves_some_unread) {
-    platform.AnswerNotices([this, answer, most_behind_millis](Socket& socket) {
+    platform.AnswerNotices([this, answer, max_delay_millis](Socket& socket) {
       const int delay = std::uniform_int_distribution<int>(0, max_delay_millis)(random_);
       if (!socket.Write(answer)) return false;
       later.Write(socket, milliseconds(delay), answer);
@@ -69,7 +69,7 @@
     if (leaves_some_unread) platform.ReadNotices([](int post) { return post % 5 != 0; });
     AnsweringHabits habits;
     habits.refused = 1;
-    StartWorld(habits, 2);
+    StartNodeAndEndpoints(habits, 2);
     EnqueueAndFinish(milliseconds(4000));
     ExpectNoneLostOrConcurrent();
   }
@@ -99,7 +99,7 @@
 TEST_F(DuplicatedCommands, RunOnce) {
   AnsweringHabits habits;
   habits.refused = 0;
-  StartWorld(habits, 4);
+  StartNodeAndEndpoints(habits, 4);
   for (int i = 0; i < 40; ++i) {
     const std::string id = "u" + std::to_string(i);
     ASSERT_EQ(ClientStandIn(node.port).Ask(Unsafe(id)), "+OK");
@@ -116,7 +116,7 @@
 TEST_F(DuplicatedCommands, RunOnceOverARestart) {
   AnsweringHabits habits;
   habits.refused = 0;
-  StartWorld(habits, 5);
+  StartNodeAndEndpoints(habits, 5);
   for (int i = 0; i < 5; ++i) ASSERT_EQ(ClientStandIn(node.port).Ask(Unsafe("u" + std::to_string(i))), "+OK");
   for (int i = 0; i < 5; ++i) RecordAccepted("u" + std::to_string(i));
   std::this_thread::sleep_for(milliseconds(400));
@@ -134,7 +134,7 @@
   AnsweringHabits habits;
   habits.refused = 0;
   habits.serves = {milliseconds(250), milliseconds(250)};
-  StartWorld(habits, 6);
+  StartNodeAndEndpoints(habits, 6);
   std::this_thread::sleep_for(milliseconds(500));
   std::string refused;
   for (int i = 0; i < 10 && refused.empty(); ++i) {
--- a/tests/node_refused_files_test.cpp
+++ b/tests/node_refused_files_test.cpp
@@ -26,7 +26,7 @@
   }
 };
 
-// Guards against a restart that accepts a file which lacks a value, with the looser rules in it.
+// Guards against a restart that accepts a file that lacks a value, with the looser rules in it.
 TEST_F(RefusedFiles, ARestartServesByTheLastKnownGoodFile) {
   StartNode();
   node.Kill(SIGKILL);
@@ -37,7 +37,7 @@
   ExpectOneCallAndFailure("after");
 }
 
-// A missing key tells a truncated file, also if the program never reads that key.
+// A missing key is a sign of a truncated file, even if the program never reads that key.
 TEST_F(RefusedFiles, ARestartRefusesAFileWithoutAKeyThatItNeverReads) {
   node.config["settings"]["goal"] = {{"whole", 0.65}};
   StartNode();
--- a/tests/node_reload_test.cpp
+++ b/tests/node_reload_test.cpp
@@ -38,11 +38,11 @@
   ASSERT_EQ(client.Ask(ClientStandIn::Command({"PING"})), "+PONG");
   MoveTo(next.address());
   ASSERT_TRUE(Eventually([&] { return next.watches() >= 1; }));
-  EXPECT_EQ(client.Ask(ClientStandIn::Enqueue("after", "c=safe,d=60000,dest=8")),
-            "+OK");  // its connection is kept
+  // The connection of the client is kept.
+  EXPECT_EQ(client.Ask(ClientStandIn::Enqueue("after", "c=safe,d=60000,dest=8")), "+OK");
   EXPECT_TRUE(Eventually([&] { return after.CallsFor("after") == 1; }));
-  EXPECT_EQ(client.Ask(ClientStandIn::Enqueue("late", "c=unsafe,d=100,dest=7")),
-            "+OK");  // no longer at the old address
+  // Destination 7 is not in the list of the new address.
+  EXPECT_EQ(client.Ask(ClientStandIn::Enqueue("late", "c=unsafe,d=100,dest=7")), "+OK");
   EXPECT_TRUE(Eventually([&] { return next.notices().contains("late"); }));
   EXPECT_TRUE(platform.notices().empty());
   EXPECT_EQ(before.CallsFor("late"), 0);
--- a/tests/node_slow_start_test.cpp
+++ b/tests/node_slow_start_test.cpp
@@ -124,9 +124,9 @@
 // The most calls that the budget allows in the window of kFall that begins `after` the recovery, with an
 // allowance for random variation.
 double Allowed(Clock::duration after) {
-  const double warmth = std::chrono::duration<double>(after + kFall / 2) / kCold;
+  const double progress = std::chrono::duration<double>(after + kFall / 2) / kCold;
   const double budget =
-      kOverload * std::min(1.0, kColdFrom + (1 - kColdFrom) * warmth) * kCapacity * kFall.count();
+      kOverload * std::min(1.0, kColdFrom + (1 - kColdFrom) * progress) * kCapacity * kFall.count();
   return budget < 30 ? budget + 3 * std::sqrt(budget) + 3 : budget + 2 * std::sqrt(budget) + 2;
 }
 
--- a/tests/unusable_files.h
+++ b/tests/unusable_files.h
@@ -60,7 +60,7 @@
     return !Enqueue(id, "c=" + message_class + ",d=8000,dest=99").starts_with("-ERR");
   }
   void ExpectRefused() {
-    EXPECT_TRUE(Logged("config.read taken=0 refused=1")) << "the file was taken";
+    EXPECT_TRUE(Logged("config.read taken=0 refused=1")) << "the file was accepted";
     EXPECT_FALSE(ClassKnown("added")) << "a class of the file is in force";
     EXPECT_FALSE(Logged("class.rules_changed")) << "its rules are in force";
     EXPECT_FALSE(Logged("list.moved")) << "its discovery is in force";
