--- a/tests/duplicates.h
+++ b/tests/duplicates.h
@@ -14,6 +14,7 @@
 
 namespace indigosaddle::testing {
 
+// Owns the endpoints, the platform and the node, and evaluates what became of each accepted message.
 class DuplicatesTest : public ::testing::Test {
  protected:
   static constexpr int kDestinations = 12, kClients = 32;
@@ -63,6 +64,7 @@
                                        ",k=" + id + ",dest=" + std::to_string(destination)));
     if (reply == "+OK") RecordAccepted(id);
   }
+  // Records a message that got +OK, for the evaluation.
   void RecordAccepted(const std::string& id) {
     const std::lock_guard lock(mutex_);
     accepted_.push_back(id);
@@ -102,6 +104,7 @@
     EXPECT_EQ(evaluation.lost, 0);
     EXPECT_EQ(evaluation.concurrent, 0);
   }
+  // Responses that the endpoints sent a second time.
   int Copies() const {
     int copies = 0;
     for (const auto& endpoint : endpoints) copies += endpoint->copies();
--- a/tests/node_repeat_rules_test.cpp
+++ b/tests/node_repeat_rules_test.cpp
@@ -19,7 +19,7 @@
 
 TEST_F(RuleChanges, AMessageAcceptedBeforeKeepsItsRules) {
   StartNode();
-  break_after_ = 500;
+  break_after_ms_ = 500;
   ASSERT_EQ(EnqueueInClass("before"), "+OK");
   SetEffect("read_like");
   Reload();
--- a/tests/node_slow_start_test.cpp
+++ b/tests/node_slow_start_test.cpp
@@ -19,9 +19,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// The capacity is in calls a second; the demand and the cold share are fractions of it.
-constexpr double kCapacity = 15, kColdFrom = 0.23, kOverload = 2, kDemand = 1.4;
-constexpr seconds kWarmUp(6), kOutage(8), kCold(14), kFall(2);
+// The capacity is in calls a second. The demand, the share at which slow start begins and the overload factor
+// are multiples of it.
+constexpr double kCapacity = 15, kInitialShare = 0.23, kOverloadFactor = 2, kDemand = 1.4;
+constexpr seconds kWarmUp(6), kOutage(8), kSlowStart(14), kBudgetWindow(2);
 
 // A destination with a limited capacity that its responses report. It records each call and whether a call of
 // the same sender had failed in the outage before.
@@ -61,7 +62,10 @@
       calls_.push_back({now, senders_in_outage_.contains(sender)});
       if (down_) senders_in_outage_.insert(sender);
       if (!down_) status = available_calls_ >= 1 ? 200 : 503;
-      if (status == 200) available_calls_ -= 1, ++served_;
+      if (status == 200) {
+        available_calls_ -= 1;
+        ++served_;
+      }
     }
     return socket.Write(
         Answer(status, "Endpoint-Load-Metrics: x0=0.1,x1=" + std::to_string(kCapacity) + "\r\n"));
@@ -85,10 +89,10 @@
     auto& settings = process_.config["settings"];
     settings["balancers"] = senders;
     settings["guarantees"] = {{"mustAskIn", 0.0},
-                              {"coldFrom", kColdFrom},
-                              {"cold", milliseconds(kCold).count()},
-                              {"fall", milliseconds(kFall).count()},
-                              {"overloadFactor", kOverload}};
+                              {"coldFrom", kInitialShare},
+                              {"cold", milliseconds(kSlowStart).count()},
+                              {"fall", milliseconds(kBudgetWindow).count()},
+                              {"overloadFactor", kOverloadFactor}};
     started_ = process_.Start();
     if (started_) client_ = std::thread([this, number, senders] { EnqueueUntilStopped(number, senders); });
   }
@@ -121,12 +125,12 @@
   std::thread client_;
 };
 
-// The most calls that the budget allows in the window of kFall that begins `after` the recovery, with an
-// allowance for random variation.
-double Allowed(Clock::duration after) {
-  const double progress = std::chrono::duration<double>(after + kFall / 2) / kCold;
-  const double budget =
-      kOverload * std::min(1.0, kColdFrom + (1 - kColdFrom) * progress) * kCapacity * kFall.count();
+// The most calls that the budget allows in the window of kBudgetWindow that begins `after` the recovery, with
+// an allowance for random variation.
+double AllowedCalls(Clock::duration after) {
+  const double progress = std::chrono::duration<double>(after + kBudgetWindow / 2) / kSlowStart;
+  const double budget = kOverloadFactor * std::min(1.0, kInitialShare + (1 - kInitialShare) * progress) *
+                        kCapacity * kBudgetWindow.count();
   return budget < 30 ? budget + 3 * std::sqrt(budget) + 3 : budget + 2 * std::sqrt(budget) + 2;
 }
 
@@ -149,27 +153,29 @@
   destination.SetDown(false);
   const auto recovered_at = Clock::now();
   const int served_before = destination.served();
-  std::this_thread::sleep_for(kCold);
+  std::this_thread::sleep_for(kSlowStart);
   const int served = destination.served() - served_before;
   for (auto& node : nodes) node->Stop();
   nodes.clear();
   const auto calls = destination.calls();
   double worst_excess = -1e9;
-  for (Clock::duration after{0}; after + kFall <= kCold; after += milliseconds(100)) {
-    int all = 0, from_aware = 0;
+  for (Clock::duration after{0}; after + kBudgetWindow <= kSlowStart; after += milliseconds(100)) {
+    int all = 0, from_senders_in_outage = 0;
     for (const LimitedDestination::Call& call : calls) {
-      if (call.at < recovered_at + after || call.at >= recovered_at + after + kFall) continue;
-      ++all, from_aware += call.saw_outage ? 1 : 0;
+      if (call.at < recovered_at + after || call.at >= recovered_at + after + kBudgetWindow) continue;
+      ++all;
+      from_senders_in_outage += call.saw_outage ? 1 : 0;
     }
-    const double excess = all - Allowed(after);
+    const double excess = all - AllowedCalls(after);
     worst_excess = std::max(worst_excess, excess);
-    EXPECT_FALSE(excess > 0 && from_aware * 3 > all * 2)
-        << all << " calls, " << from_aware << " from nodes that had seen the outage, " << Allowed(after)
-        << " allowed, " << std::chrono::duration<double>(after).count() << " s after the recovery";
+    EXPECT_FALSE(excess > 0 && from_senders_in_outage * 3 > all * 2)
+        << all << " calls, " << from_senders_in_outage << " from nodes that had seen the outage, "
+        << AllowedCalls(after) << " allowed, " << std::chrono::duration<double>(after).count()
+        << " s after the recovery";
   }
   std::cout << "[   slow   ] " << senders << " nodes: worst " << worst_excess << ", served "
-            << served / (kCapacity * kCold.count()) << " of the capacity\n";
-  EXPECT_GT(served, kCapacity * kCold.count() * 0.2);
+            << served / (kCapacity * kSlowStart.count()) << " of the capacity\n";
+  EXPECT_GT(served, kCapacity * kSlowStart.count() * 0.2);
 }
 
 }  // namespace
--- a/tests/node_stop_paths_test.cpp
+++ b/tests/node_stop_paths_test.cpp
@@ -25,8 +25,8 @@
   platform.Set(PlatformStandIn::Member("h-1", hung.address(), 8));
   for (auto& message_class : node.config["settings"]["classes"]) message_class["aim"] = 30000.0;
   ASSERT_TRUE(node.Start());
-  ASSERT_TRUE(EnqueueOnceListed(
-      "out", "c=safe,d=20000,dest=8"));  // keeps the process running until the end of its stop
+  // The call keeps the process running until the end of its stop.
+  ASSERT_TRUE(EnqueueOnceListed("out", "c=safe,d=20000,dest=8"));
   ASSERT_TRUE(Eventually([&] { return hung.CallsFor("out") == 1; }));
   std::thread hangup([&] {
     EXPECT_TRUE(Eventually([&] { return node.log().find(kIntakeEnded) != std::string::npos; }));
--- a/tests/node_unusable_files_test.cpp
+++ b/tests/node_unusable_files_test.cpp
@@ -85,9 +85,7 @@
   std::function<std::string(Json)> text;  // made from a complete one
 };
 std::ostream& operator<<(std::ostream& out, const TestFile& file) { return out << file.name; }
-std::string TestNameOfFile(const ::testing::TestParamInfo<TestFile>& param_info) {
-  return param_info.param.name;
-}
+std::string TestNameOfFile(const ::testing::TestParamInfo<TestFile>& test) { return test.param.name; }
 
 TestFile WithText(const char* name, const char* text) {
   return {name, [=](const Json&) { return std::string(text); }};
--- a/tests/rule_changes.h
+++ b/tests/rule_changes.h
@@ -14,13 +14,14 @@
 
 using std::chrono::milliseconds;
 
+// The rules of the class kClass change; it may not be repeated at first.
 class RuleChanges : public NodeTest {
  protected:
   static constexpr const char* kClass = "notice";
 
   RuleChanges()
       : endpoint_([this](Socket&, const HttpRequest&, int) {
-          std::this_thread::sleep_for(milliseconds(break_after_));
+          std::this_thread::sleep_for(milliseconds(break_after_ms_));
           return false;
         }) {
     platform.Set(PlatformStandIn::Member("s-1", endpoint_.address(), 7));
@@ -35,6 +36,7 @@
   nlohmann::json& Class() { return node.config["settings"]["classes"].back(); }
   void SetEffect(const std::string& effect) { Class()["effect"] = effect; }
 
+  // Starts the node and waits until it knows the list of endpoints.
   void StartNode() {
     ASSERT_TRUE(node.Start());
     Settle("first");
@@ -47,6 +49,7 @@
     ASSERT_TRUE(Eventually([&] { return RuleChangeCount() > before; }));
   }
   std::size_t RuleChangeCount() const { return CountLines("class.rules_changed"); }
+  // How often `event` occurs in the log.
   std::size_t CountLines(const std::string& event) const {
     const std::string log = node.log();
     std::size_t count = 0;
@@ -56,8 +59,9 @@
 
   // Enqueues a message of the class with its remaining time in milliseconds and further fields of the
   // command. Returns the reply.
-  std::string EnqueueInClass(const std::string& id, int remaining = 8000, const std::string& fields = "") {
-    return Enqueue(id, std::string("c=") + kClass + ",d=" + std::to_string(remaining) + ",dest=7" + fields);
+  std::string EnqueueInClass(const std::string& id, int remaining_ms = 8000, const std::string& fields = "") {
+    return Enqueue(id,
+                   std::string("c=") + kClass + ",d=" + std::to_string(remaining_ms) + ",dest=7" + fields);
   }
   // The message had one call, which may have run, and its client got a notice that it failed, which leaves
   // open whether it ran.
@@ -66,11 +70,12 @@
     EXPECT_TRUE(HasNotice(id, "failed")) << id << " was returned though it may have run";
     EXPECT_EQ(endpoint_.CallsFor(id), 1) << id << " was sent again though it may have run";
   }
+  // The message was called more than once.
   void ExpectRepeated(const std::string& id) {
     EXPECT_TRUE(Eventually([&] { return endpoint_.CallsFor(id) > 1; })) << id << " was not sent again";
   }
 
-  std::atomic<int> break_after_{0};  // milliseconds after the last byte of a call
+  std::atomic<int> break_after_ms_{0};  // milliseconds after the last byte of a call
   EndpointStandIn endpoint_;
 };
 
--- a/tests/stopped_node.h
+++ b/tests/stopped_node.h
@@ -73,6 +73,7 @@
   std::thread thread_;
 };
 
+// The endpoint of destination 7 serves all calls.
 class StoppedNode : public NodeTest {
  protected:
   StoppedNode() { platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7)); }
@@ -103,6 +104,7 @@
           << sender.id() << " was written whole and got no answer";
     }
   }
+  // No sender got +OK, and none of their messages was called.
   void ExpectNoneAccepted() {
     for (const LateSender& sender : senders_) {
       EXPECT_NE(sender.reply(), "+OK\r\n") << sender.id();
--- a/tests/unusable_files.h
+++ b/tests/unusable_files.h
@@ -59,6 +59,7 @@
     const std::string id = message_class + std::to_string(++class_checks_);
     return !Enqueue(id, "c=" + message_class + ",d=8000,dest=99").starts_with("-ERR");
   }
+  // The file was refused, and no part of it is in force.
   void ExpectRefused() {
     EXPECT_TRUE(Logged("config.read taken=0 refused=1")) << "the file was accepted";
     EXPECT_FALSE(ClassKnown("added")) << "a class of the file is in force";
@@ -75,6 +76,7 @@
 class UsableFiles : public UnusableFiles {
  protected:
   Json& Classes() { return node.config["settings"]["classes"]; }
+  // Sends the changed file, which must be accepted, and an empty one, which must be refused.
   void ExpectAcceptedThenSendAnEmptyFile() {
     ReplaceFile(node.config);
     EXPECT_TRUE(Logged("config.read taken=1 refused=0"));
