--- a/tests/node_copies_soak_test.cpp
+++ b/tests/node_copies_soak_test.cpp
@@ -17,7 +17,7 @@
 namespace indigosaddle::testing {
 namespace {
 
-struct CopiesShape {
+struct CopiesSoakParameters {
   int nodes = 4, clients = 10, slow_clients = 2, destinations = 4;
   milliseconds pause{25};
   int rounds = 1;
@@ -29,10 +29,10 @@
   void SetUp() override {
     random_.seed(GetParam());
     if (GetParam() % 5 != 0) return;
-    shape_.nodes = 24;
-    shape_.clients = 3;
-    shape_.slow_clients = 1;
-    shape_.pause = milliseconds(150);
+    parameters_.nodes = 24;
+    parameters_.clients = 3;
+    parameters_.slow_clients = 1;
+    parameters_.pause = milliseconds(150);
   }
 
   AnsweringHabits DrawHabits() {
@@ -52,63 +52,63 @@
     return habits;
   }
 
-  void SetPlatform() {
+  void ConfigurePlatform() {
     const std::string plain = "HTTP/1.1 204 No Content\r\n";
     const std::string answer = plain + (Draw(1) == 0 ? "Connection: close\r\n\r\n" : "\r\n");
-    platform_.AnswerNotices([this, answer, most = 60 * Draw(1) + 2](Socket& socket) {
+    platform_.AnswerNotices([this, answer, max_delay_ms = 60 * Draw(1) + 2](Socket& socket) {
       if (!socket.Write(answer)) return false;
-      later_.Write(socket, milliseconds(notices_answered_++ % most), answer);
+      delayed_writes_.Write(socket, milliseconds(notices_answered_++ % max_delay_ms), answer);
       return true;
     });
     platform_.ReadNotices([](int post) { return post % 5 != 0; });
     // Behind lines of a watch the same line, and behind some a list of its first version, whole.
     platform_.BehindLines([this](Socket& socket, const std::string& chunk) {
-      later_.Write(socket, milliseconds(20), chunk);
-      if (lines_++ % 3 != 0) return;
-      const std::string older = "{\"seq\":1,\"whole\":true,\"hosts\":" + first_list_.dump() + "}\n";
+      delayed_writes_.Write(socket, milliseconds(20), chunk);
+      if (watch_lines_sent_++ % 3 != 0) return;
+      const std::string old_list = "{\"seq\":1,\"whole\":true,\"hosts\":" + first_list_.dump() + "}\n";
       std::ostringstream size;
-      size << std::hex << older.size();
-      later_.Write(socket, milliseconds(60), size.str() + "\r\n" + older + "\r\n");
+      size << std::hex << old_list.size();
+      delayed_writes_.Write(socket, milliseconds(60), size.str() + "\r\n" + old_list + "\r\n");
     });
   }
 
   void Build() {
-    for (int i = 0; i < 2 * shape_.destinations; ++i) {
+    for (int i = 0; i < 2 * parameters_.destinations; ++i) {
       endpoints_.push_back(std::make_unique<JudgedEndpoint>(
-          record_, later_, GetParam() * 100 + endpoints_.size(), DrawHabits()));
+          call_record_, delayed_writes_, GetParam() * 100 + endpoints_.size(), DrawHabits()));
       first_list_.push_back(Member(i, "Ready"));
     }
-    SetPlatform();
+    ConfigurePlatform();
     for (const auto& member : first_list_) platform_.Set(member);
-    for (int i = 0; i < shape_.nodes; ++i) {
-      nodes_.push_back(
-          std::make_unique<StopSoakNode>(platform_, i, shape_.nodes, GetParam() * 50 + nodes_.size() * 2));
+    for (int i = 0; i < parameters_.nodes; ++i) {
+      nodes_.push_back(std::make_unique<StopSoakNode>(platform_, i, parameters_.nodes,
+                                                      GetParam() * 50 + nodes_.size() * 2));
       nodes_.back()->Start();
     }
-    for (int i = 0; i < shape_.nodes; ++i) {
-      for (int j = 0; j < shape_.clients; ++j) {
+    for (int i = 0; i < parameters_.nodes; ++i) {
+      for (int j = 0; j < parameters_.clients; ++j) {
         const std::string prefix = "n" + std::to_string(i) + "-" + std::to_string(j) + "-";
-        clients_.push_back(
-            std::make_unique<SoakClient>(clients_saw_, nodes_[static_cast<std::size_t>(i)]->view, prefix,
-                                         shape_.destinations, GetParam() * 1000 + clients_.size(),
-                                         shape_.pause, kClasses, j < shape_.slow_clients, kCopiedCommands));
+        clients_.push_back(std::make_unique<SoakClient>(
+            client_record_, nodes_[static_cast<std::size_t>(i)]->view, prefix, parameters_.destinations,
+            GetParam() * 1000 + clients_.size(), parameters_.pause, kClasses, j < parameters_.slow_clients,
+            kDuplicateCommandShare));
       }
     }
   }
   nlohmann::json Member(int number, const std::string& health) const {
     return PlatformStandIn::Member("s-" + std::to_string(number),
                                    endpoints_[static_cast<std::size_t>(number)]->address(),
-                                   1 + number % shape_.destinations, health);
+                                   1 + number % parameters_.destinations, health);
   }
 
   // Every node is stopped once, killed or replaced; meanwhile an endpoint drains for good.
-  void StopAll() {
+  void StopNodes() {
     std::vector<std::thread> threads;
     for (auto& node : nodes_) {
       threads.emplace_back([this, &node, own_seed = GetParam() * 90 + threads.size()] {
         std::mt19937_64 random(own_seed);
         const auto draw = [&](int most) { return std::uniform_int_distribution<int>(0, most)(random); };
-        for (int round = 0; round < shape_.rounds; ++round) {
+        for (int round = 0; round < parameters_.rounds; ++round) {
           std::this_thread::sleep_for(milliseconds(2000 + draw(3000)));
           draw(5) == 0 ? node->Crash() : node->PlannedStop();
         }
@@ -118,66 +118,67 @@
     platform_.Set(Member(0, "Terminating"));
     drained_at_ = Clock::now();
     for (std::thread& thread : threads) thread.join();
-    for (auto& node : nodes_) node->StopHoldUps();
+    for (auto& node : nodes_) node->EndStalls();
     std::this_thread::sleep_for(milliseconds(1000));
   }
 
-  void Judge() {
+  void CheckResults() {
     for (auto& client : clients_) client->Stop();
-    std::this_thread::sleep_for(kLongestLife + kNoticesBy);
+    std::this_thread::sleep_for(kLongestTimeLimit + kNoticeAllowance);
     for (auto& node : nodes_) {
       EXPECT_FALSE(node->Ended()) << "a process is gone";
-      EXPECT_EQ(node->alive_at_kill(), 0) << "alive at the earliest kill";
-      EXPECT_EQ(node->Breaks(), "");
+      EXPECT_EQ(node->overdue_stops(), 0) << "alive at the earliest kill";
+      EXPECT_EQ(node->InvariantViolations(), "");
     }
-    EXPECT_EQ(endpoints_[0]->CallsFrom(drained_at_ + kDrainTold), 0) << "called although it drains";
-    const auto calls = record_.calls();
+    EXPECT_EQ(endpoints_[0]->CallsFrom(drained_at_ + kDrainPropagation), 0) << "called although it drains";
+    const auto calls = call_record_.calls();
     const auto notices = platform_.notices();
-    int taken = 0;
-    for (const auto& [id, message] : clients_saw_.messages()) {
-      EXPECT_FALSE(message.closed && !message.node_died)
-          << id << " was written whole and got no answer: " << message.how;
+    int accepted = 0;
+    for (const auto& [id, message] : client_record_.messages()) {
+      EXPECT_FALSE(message.closed_without_reply && !message.node_killed)
+          << id << " was written whole and got no answer: " << message.close_description;
       const auto it = calls.find(id);
-      const std::vector<JudgedCall> own = it == calls.end() ? std::vector<JudgedCall>{} : it->second;
-      EXPECT_FALSE(Overlap(own)) << id << " was called twice at once" << Lines(id);
-      if (message.message_class == "unsafe") ExpectOneRun(id, own);
+      const std::vector<JudgedCall> message_calls =
+          it == calls.end() ? std::vector<JudgedCall>{} : it->second;
+      EXPECT_FALSE(Overlap(message_calls)) << id << " was called twice at once" << LogLines(id);
+      if (message.message_class == "unsafe") ExpectAtMostOneExecution(id, message_calls);
       if (message.reply != "+OK") continue;
-      ++taken;
-      EXPECT_TRUE(Served(own) || notices.contains(id)) << id << " has no end" << Lines(id);
+      ++accepted;
+      EXPECT_TRUE(Served(message_calls) || notices.contains(id)) << id << " has no end" << LogLines(id);
     }
-    EXPECT_GT(taken, 50);
-    std::cout << "[   soak   ] seed " << GetParam() << ": " << clients_saw_.messages().size() << " messages, "
-              << taken << " taken on, " << notices.size() << " notices, " << later_.written()
-              << " things said later\n";
+    EXPECT_GT(accepted, 50);
+    std::cout << "[   soak   ] seed " << GetParam() << ": " << client_record_.messages().size()
+              << " messages, " << accepted << " taken on, " << notices.size() << " notices, "
+              << delayed_writes_.written() << " things said later\n";
   }
-  void ExpectOneRun(const std::string& id, const std::vector<JudgedCall>& calls) const {
+  void ExpectAtMostOneExecution(const std::string& id, const std::vector<JudgedCall>& calls) const {
     const auto may_have_run =
         std::count_if(calls.begin(), calls.end(), [](const JudgedCall& call) { return call.status != 503; });
-    EXPECT_LE(may_have_run, 1) << id << " was called again though it may have run" << Lines(id);
+    EXPECT_LE(may_have_run, 1) << id << " was called again though it may have run" << LogLines(id);
   }
   // What the logs say of a message, for a failure's trace.
-  std::string Lines(const std::string& id) const {
-    std::istringstream all(nodes_[static_cast<std::size_t>(SenderOf(id))]->Logs());
-    std::string found = "\n";
-    for (std::string line; std::getline(all, line);)
-      if (line.find("id=" + id + " ") != std::string::npos) found += line + "\n";
-    return found;
+  std::string LogLines(const std::string& id) const {
+    std::istringstream log_lines(nodes_[static_cast<std::size_t>(NodeNumberOf(id))]->Logs());
+    std::string matching = "\n";
+    for (std::string line; std::getline(log_lines, line);)
+      if (line.find("id=" + id + " ") != std::string::npos) matching += line + "\n";
+    return matching;
   }
 
   int Draw(int most) { return std::uniform_int_distribution<int>(0, most)(random_); }
 
  private:
   inline static const std::vector<std::string> kClasses = {"safe", "keyed", "unsafe"};
-  static constexpr double kCopiedCommands = 0.1;
+  static constexpr double kDuplicateCommandShare = 0.1;
   // Of a drain, through a hold-up, a start and what the platform allows.
-  static constexpr milliseconds kLongestLife{3000}, kNoticesBy{1800}, kDrainTold{1500};
+  static constexpr milliseconds kLongestTimeLimit{3000}, kNoticeAllowance{1800}, kDrainPropagation{1500};
 
-  CopiesShape shape_;
+  CopiesSoakParameters parameters_;
   std::mt19937_64 random_;
-  CallRecord record_;
-  SoakRecord clients_saw_;
-  LaterWrites later_;
-  std::atomic<int> notices_answered_{0}, lines_{0};
+  CallRecord call_record_;
+  SoakRecord client_record_;
+  LaterWrites delayed_writes_;
+  std::atomic<int> notices_answered_{0}, watch_lines_sent_{0};
   nlohmann::json first_list_ = nlohmann::json::array();
   Clock::time_point drained_at_;
   PlatformStandIn platform_;
@@ -189,8 +190,8 @@
 // Guards against a message without its one end, or with two calls at once, whatever comes twice.
 TEST_P(CopiesSoak, EachMessageHasItsEndAndOneCallAtATime) {
   Build();
-  StopAll();
-  Judge();
+  StopNodes();
+  CheckResults();
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, CopiesSoak, ::testing::ValuesIn(SoakSeeds()),
--- a/tests/node_stop_soak_test.cpp
+++ b/tests/node_stop_soak_test.cpp
@@ -15,118 +15,118 @@
 namespace indigosaddle::testing {
 namespace {
 
-struct StopSoakShape {
+struct StopSoakParameters {
   int nodes = 4, clients = 12, slow_clients = 8, endpoints = 3;
   milliseconds pause{20};
-  double trouble = 0.15;
+  double failure_share = 0.15;
   int rounds = 2;
 };
 
 class StopSoak : public ::testing::TestWithParam<std::uint64_t> {
  protected:
   // Every fifth seed is a crowd.
-  static StopSoakShape ShapeOf(std::uint64_t seed) {
-    StopSoakShape shape;
+  static StopSoakParameters ParametersFor(std::uint64_t seed) {
+    StopSoakParameters parameters;
     if (seed % 5 == 0) {
-      shape.nodes = 24;
-      shape.clients = 3;
-      shape.slow_clients = 1;
-      shape.pause = milliseconds(150);
+      parameters.nodes = 24;
+      parameters.clients = 3;
+      parameters.slow_clients = 1;
+      parameters.pause = milliseconds(150);
     }
-    return shape;
+    return parameters;
   }
 
   void Build(std::uint64_t seed) {
-    shape_ = ShapeOf(seed);
-    for (int i = 1; i <= shape_.endpoints; ++i) {
+    parameters_ = ParametersFor(seed);
+    for (int i = 1; i <= parameters_.endpoints; ++i) {
       endpoints_.push_back(std::make_unique<SoakEndpoint>(record_, seed * 100 + static_cast<std::uint64_t>(i),
-                                                          shape_.trouble));
+                                                          parameters_.failure_share));
       platform_.Set(PlatformStandIn::Member("s-" + std::to_string(i), endpoints_.back()->address(), i));
     }
-    for (int i = 0; i < shape_.nodes; ++i) {
+    for (int i = 0; i < parameters_.nodes; ++i) {
       nodes_.push_back(
-          std::make_unique<StopSoakNode>(platform_, i, shape_.nodes, seed * 50 + nodes_.size() * 2));
+          std::make_unique<StopSoakNode>(platform_, i, parameters_.nodes, seed * 50 + nodes_.size() * 2));
       nodes_.back()->Start();
     }
-    for (int i = 0; i < shape_.nodes; ++i) {
-      for (int j = 0; j < shape_.clients; ++j) {
+    for (int i = 0; i < parameters_.nodes; ++i) {
+      for (int j = 0; j < parameters_.clients; ++j) {
         const std::string prefix = "n" + std::to_string(i) + "-" + std::to_string(j) + "-";
         clients_.push_back(std::make_unique<SoakClient>(
-            record_, nodes_[static_cast<std::size_t>(i)]->view, prefix, shape_.endpoints,
-            seed * 1000 + clients_.size(), shape_.pause, kClasses, j < shape_.slow_clients));
+            record_, nodes_[static_cast<std::size_t>(i)]->view, prefix, parameters_.endpoints,
+            seed * 1000 + clients_.size(), parameters_.pause, kClasses, j < parameters_.slow_clients));
       }
     }
   }
 
   // Every node is stopped a few times; one in eight times it is killed with no word instead.
-  void StopAll(std::uint64_t seed) {
+  void StopNodes(std::uint64_t seed) {
     std::vector<std::thread> threads;
     for (auto& node : nodes_) {
       threads.emplace_back([this, &node, own_seed = seed * 90 + threads.size()] {
         std::mt19937_64 random(own_seed);
         const auto draw = [&](int most) { return std::uniform_int_distribution<int>(0, most)(random); };
-        for (int round = 0; round < shape_.rounds; ++round) {
+        for (int round = 0; round < parameters_.rounds; ++round) {
           std::this_thread::sleep_for(milliseconds(draw(1500)));
           draw(7) == 0 ? node->Crash() : node->PlannedStop();
         }
       });
     }
     for (std::thread& thread : threads) thread.join();
-    for (auto& node : nodes_) node->StopHoldUps();
+    for (auto& node : nodes_) node->EndStalls();
     std::this_thread::sleep_for(milliseconds(500));
   }
 
-  void Judge() {
+  void CheckResults() {
     for (auto& client : clients_) client->Stop();
     // The longest time of a message, and what the platform allows behind it.
-    std::this_thread::sleep_for(kLongestLife + kNoticesBy);
-    int alive_at_kill = 0;
+    std::this_thread::sleep_for(kLongestTimeLimit + kNoticeAllowance);
+    int overdue_stops = 0;
     for (auto& node : nodes_) {
       EXPECT_FALSE(node->Ended()) << "a process is gone";
       EXPECT_EQ(node->Logs().find(" phase.break "), std::string::npos);
-      alive_at_kill += node->alive_at_kill();
+      overdue_stops += node->overdue_stops();
     }
-    EXPECT_EQ(alive_at_kill, 0) << "alive at the earliest kill";
+    EXPECT_EQ(overdue_stops, 0) << "alive at the earliest kill";
     const auto calls = record_.calls();
     const auto notices = platform_.notices();
-    int taken = 0, unanswered = 0;
+    int accepted = 0, unanswered = 0;
     for (const auto& [id, message] : record_.messages()) {
-      EXPECT_FALSE(message.closed && !message.node_died)
-          << id << " was written whole and got no answer: " << message.how << ", at "
-          << WallMillis(message.whole) << "\n"
-          << nodes_[static_cast<std::size_t>(SenderOf(id))]->Phases();
+      EXPECT_FALSE(message.closed_without_reply && !message.node_killed)
+          << id << " was written whole and got no answer: " << message.close_description << ", at "
+          << WallMillis(message.fully_written_at) << "\n"
+          << nodes_[static_cast<std::size_t>(NodeNumberOf(id))]->Phases();
       unanswered += message.reply.empty() ? 1 : 0;
       ExpectNoUnsafeRepeat(id, message, calls);
       if (message.reply != "+OK") continue;
-      ++taken;
+      ++accepted;
       EXPECT_TRUE(record_.Served(id) || notices.contains(id)) << id << " has no end";
     }
-    EXPECT_GT(taken, 50);
+    EXPECT_GT(accepted, 50);
     std::cout << "[   soak   ] seed " << GetParam() << ": " << record_.messages().size() << " messages, "
-              << taken << " taken on, " << unanswered << " not answered in 0.4 s, " << notices.size()
+              << accepted << " taken on, " << unanswered << " not answered in 0.4 s, " << notices.size()
               << " notices\n";
   }
   // As the nodes' logs tell time.
   static std::int64_t WallMillis(Clock::time_point at) {
-    const auto ago = Clock::now() - at;
-    const auto wall = std::chrono::system_clock::now() - ago;
+    const auto age = Clock::now() - at;
+    const auto wall = std::chrono::system_clock::now() - age;
     return std::chrono::duration_cast<milliseconds>(wall.time_since_epoch()).count();
   }
   static void ExpectNoUnsafeRepeat(const std::string& id, const SentMessage& message,
-                                   const std::map<std::string, std::vector<SeenCall>>& calls) {
+                                   const std::map<std::string, std::vector<ObservedCall>>& calls) {
     const auto seen = calls.find(id);
     if (message.message_class != "unsafe" || seen == calls.end()) return;
     const auto may_have_run =
         std::count_if(seen->second.begin(), seen->second.end(),
-                      [](const SeenCall& call) { return call.answer != CallAnswer::kRefused; });
+                      [](const ObservedCall& call) { return call.answer != CallAnswer::kRefused; });
     EXPECT_LE(may_have_run, 1) << id << " was called again though it may have run";
   }
 
  private:
   inline static const std::vector<std::string> kClasses = {"safe", "keyed", "unsafe"};
-  static constexpr milliseconds kLongestLife{3000}, kNoticesBy{1800};
+  static constexpr milliseconds kLongestTimeLimit{3000}, kNoticeAllowance{1800};
 
-  StopSoakShape shape_;
+  StopSoakParameters parameters_;
   SoakRecord record_;
   PlatformStandIn platform_;
   std::vector<std::unique_ptr<SoakEndpoint>> endpoints_;
@@ -138,8 +138,8 @@
 // process up.
 TEST_P(StopSoak, EachRequestIsAnsweredAndHasItsEnd) {
   Build(GetParam());
-  StopAll(GetParam());
-  Judge();
+  StopNodes(GetParam());
+  CheckResults();
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, StopSoak, ::testing::ValuesIn(SoakSeeds()),
--- a/tests/soak_client.h
+++ b/tests/soak_client.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "later_writes.h"
-#include "soak_world.h"
+#include "soak_record.h"
 
 namespace indigosaddle::testing {
 
@@ -27,13 +27,14 @@
   // `port` is the node's, 0 while it is down; `kills` is odd while its process may end by other than a
   // planned stop.
   struct NodeView {
-    std::atomic<int> port{0}, kills{0};
+    std::atomic<int> port{0}, kill_counter{0};
   };
 
   // `copied`: the share of its commands that come a second time, on another connection, 1 to 300 ms later.
   // `slow`: it sends its commands in pieces, with pauses between them.
   SoakClient(SoakRecord& record, NodeView& node, std::string prefix, int destinations, std::uint64_t seed,
-             milliseconds pause, std::vector<std::string> classes, bool slow = false, double copied = 0)
+             milliseconds pause, std::vector<std::string> classes, bool slow = false,
+             double duplicate_share = 0)
       : record_(record),
         node_(node),
         prefix_(std::move(prefix)),
@@ -42,7 +43,7 @@
         pause_(pause),
         classes_(std::move(classes)),
         slow_(slow),
-        copied_(copied),
+        duplicate_share_(duplicate_share),
         thread_([this] { Run(); }) {}
   ~SoakClient() { Stop(); }
   void Stop() {
@@ -51,73 +52,77 @@
   }
 
  private:
-  static constexpr std::size_t kMostCopies = 20;
-  static constexpr milliseconds kAnswer{400}, kMostBetweenPieces{600};
+  static constexpr std::size_t kMaxOpenDuplicates = 20;
+  static constexpr milliseconds kReplyTimeout{400}, kMaxPauseBetweenPieces{600};
 
   void Run() {
     for (int number = 0; !stop_; ++number) {
       SentMessage message;
-      message.message_class = Pick(classes_);
-      message.life = milliseconds(std::uniform_int_distribution<int>(800, 3000)(random_));
-      message.born = Clock::now();
+      message.message_class = PickOne(classes_);
+      message.time_limit = milliseconds(std::uniform_int_distribution<int>(800, 3000)(random_));
+      message.created_at = Clock::now();
       destination_ = std::uniform_int_distribution<int>(1, destinations_)(random_);
       const std::string id = prefix_ + std::to_string(number);
-      if (HandIn(id, "", message)) HandInAgain(id, message);
+      if (Enqueue(id, "", message)) EnqueueAgain(id, message);
       std::this_thread::sleep_for(pause_ * std::uniform_int_distribution<int>(1, 3)(random_) / 2);
     }
   }
 
-  std::string Pick(const std::vector<std::string>& names) {
+  std::string PickOne(const std::vector<std::string>& names) {
     return names[std::uniform_int_distribution<std::size_t>(0, names.size() - 1)(random_)];
   }
 
   // Behind a refusal, with what is left of its time, and a new id.
-  void HandInAgain(const std::string& id, SentMessage message) {
+  void EnqueueAgain(const std::string& id, SentMessage message) {
     std::this_thread::sleep_for(milliseconds(std::uniform_int_distribution<int>(20, 300)(random_)));
-    const auto used = std::chrono::duration_cast<milliseconds>(Clock::now() - message.born);
-    message.life -= used;
-    if (message.life > milliseconds(200)) HandIn(id + "-again", ",r=1", message);
+    const auto elapsed = std::chrono::duration_cast<milliseconds>(Clock::now() - message.created_at);
+    message.time_limit -= elapsed;
+    if (message.time_limit > milliseconds(200)) Enqueue(id + "-again", ",r=1", message);
   }
 
   // True where it was refused.
-  bool HandIn(const std::string& id, const std::string& more, SentMessage& message) {
-    const std::string bytes = ClientStandIn::Enqueue(id, "c=" + message.message_class + ",k=" + id +
-                                                             ",d=" + std::to_string(message.life.count()) +
-                                                             ",dest=" + std::to_string(destination_) + more);
-    const int kills = node_.kills;
-    const bool rested = socket_.open();
-    message.begun = Clock::now();
+  bool Enqueue(const std::string& id, const std::string& extra_options, SentMessage& message) {
+    const std::string bytes = ClientStandIn::Enqueue(
+        id, "c=" + message.message_class + ",k=" + id + ",d=" + std::to_string(message.time_limit.count()) +
+                ",dest=" + std::to_string(destination_) + extra_options);
+    const int kills_before = node_.kill_counter;
+    const bool reused = socket_.open();
+    message.enqueue_began_at = Clock::now();
     message.reply.clear();
-    bool written = (rested || Connect()) && (slow_ ? WriteInPieces(bytes) : socket_.Write(bytes));
-    if (written && std::bernoulli_distribution(copied_)(random_)) CopyLater(bytes);
+    bool written = (reused || Connect()) && (slow_ ? WriteInPieces(bytes) : socket_.Write(bytes));
+    if (written && std::bernoulli_distribution(duplicate_share_)(random_)) ScheduleDuplicate(bytes);
     if (slow_ && !written) return socket_.Close(), false;  // it was answered or ended before the last byte
-    const auto whole = Clock::now();
+    const auto fully_written_at = Clock::now();
     if (written) message.reply = ReadLine();
     const bool reset = written && message.reply.empty() && WasReset();
-    if (message.reply.empty() && rested && !reset && Clock::now() - whole < kAnswer) {  // it crossed the end
+    if (message.reply.empty() && reused && !reset &&
+        Clock::now() - fully_written_at < kReplyTimeout) {  // it crossed the end
       socket_.Close();
-      message.begun = Clock::now();
+      message.enqueue_began_at = Clock::now();
       written = Connect() && socket_.Write(bytes);
       if (written) message.reply = ReadLine();
     }
-    message.whole = whole;
-    message.how = std::string(reset ? "reset" : "ended") +
-                  (rested ? ", rested before" : ", a new connection") + (slow_ ? ", in pieces" : "");
-    const bool in_time = Clock::now() - std::max(whole, message.begun) < kAnswer;
-    message.closed = reset || (written && message.reply.empty() && in_time);
+    message.fully_written_at = fully_written_at;
+    message.close_description = std::string(reset ? "reset" : "ended") +
+                                (reused ? ", rested before" : ", a new connection") +
+                                (slow_ ? ", in pieces" : "");
+    const bool within_timeout =
+        Clock::now() - std::max(fully_written_at, message.enqueue_began_at) < kReplyTimeout;
+    message.closed_without_reply = reset || (written && message.reply.empty() && within_timeout);
     if (message.reply.empty()) socket_.Close();
-    message.node_died = kills % 2 == 1 || node_.kills != kills;
-    if (written) record_.Sent(id, message);
+    message.node_killed = kills_before % 2 == 1 || node_.kill_counter != kills_before;
+    if (written) record_.AddMessage(id, message);
     return message.reply.starts_with("-BUSY");
   }
 
   // What the node answers there has nobody to hear it.
-  void CopyLater(const std::string& bytes) {
+  void ScheduleDuplicate(const std::string& bytes) {
     if (node_.port == 0) return;
-    copies_.push_back(Socket::Connect(node_.port));
-    if (!copies_.back().open()) return copies_.pop_back();
-    later_.Write(copies_.back(), milliseconds(std::uniform_int_distribution<int>(1, 300)(random_)), bytes);
-    if (copies_.size() > kMostCopies) copies_.pop_front();
+    duplicate_connections_.push_back(Socket::Connect(node_.port));
+    if (!duplicate_connections_.back().open()) return duplicate_connections_.pop_back();
+    delayed_writes_.Write(duplicate_connections_.back(),
+                          milliseconds(std::uniform_int_distribution<int>(1, 300)(random_)), bytes);
+    if (duplicate_connections_.size() > kMaxOpenDuplicates) duplicate_connections_.pop_front();
   }
 
   bool WasReset() const {
@@ -133,10 +138,10 @@
       const std::size_t piece = std::uniform_int_distribution<std::size_t>(1, bytes.size() - 1)(random_);
       if (!socket_.Write(bytes.substr(0, piece))) return false;
       bytes.remove_prefix(piece);
-      const auto most =
-          std::min<int>(static_cast<int>(kMostBetweenPieces.count()), 2400 / (++pieces_ % 4 + 2));
-      pollfd heard{socket_.get(), POLLIN, 0};
-      if (poll(&heard, 1, std::uniform_int_distribution<int>(0, most)(random_)) > 0) return false;
+      const auto max_pause_ms =
+          std::min<int>(static_cast<int>(kMaxPauseBetweenPieces.count()), 2400 / (++pieces_sent_ % 4 + 2));
+      pollfd readable{socket_.get(), POLLIN, 0};
+      if (poll(&readable, 1, std::uniform_int_distribution<int>(0, max_pause_ms)(random_)) > 0) return false;
     }
     return socket_.Write(bytes);
   }
@@ -144,25 +149,26 @@
   bool Connect() {
     if (node_.port == 0) return false;
     socket_ = Socket::Connect(node_.port);
-    bytes_.clear();
+    unread_bytes_.clear();
     reset_ = false;
     return socket_.open();
   }
   std::string ReadLine() {
-    const auto end = Clock::now() + kAnswer;
-    std::size_t at = 0;
-    while ((at = bytes_.find("\r\n")) == std::string::npos) {
-      const auto left = std::chrono::duration_cast<milliseconds>(end - Clock::now());
-      pollfd wait{socket_.get(), POLLIN, 0};
-      if (left <= milliseconds(0) || poll(&wait, 1, static_cast<int>(left.count())) <= 0) return "";
-      char more[4096];
-      const ssize_t count = recv(socket_.get(), more, sizeof more, 0);
-      reset_ = count < 0 && errno == ECONNRESET;
-      if (count <= 0) return "";
-      bytes_.append(more, static_cast<std::size_t>(count));
+    const auto deadline = Clock::now() + kReplyTimeout;
+    std::size_t line_end = 0;
+    while ((line_end = unread_bytes_.find("\r\n")) == std::string::npos) {
+      const auto remaining = std::chrono::duration_cast<milliseconds>(deadline - Clock::now());
+      pollfd readable{socket_.get(), POLLIN, 0};
+      if (remaining <= milliseconds(0) || poll(&readable, 1, static_cast<int>(remaining.count())) <= 0)
+        return "";
+      char buffer[4096];
+      const ssize_t received = recv(socket_.get(), buffer, sizeof buffer, 0);
+      reset_ = received < 0 && errno == ECONNRESET;
+      if (received <= 0) return "";
+      unread_bytes_.append(buffer, static_cast<std::size_t>(received));
     }
-    const std::string line = bytes_.substr(0, at);
-    bytes_.erase(0, at + 2);
+    const std::string line = unread_bytes_.substr(0, line_end);
+    unread_bytes_.erase(0, line_end + 2);
     return line;
   }
 
@@ -175,12 +181,12 @@
   const milliseconds pause_;
   const std::vector<std::string> classes_;
   const bool slow_;
-  const double copied_;
-  std::list<Socket> copies_;
-  LaterWrites later_;
-  int pieces_ = 0;
+  const double duplicate_share_;
+  std::list<Socket> duplicate_connections_;
+  LaterWrites delayed_writes_;
+  int pieces_sent_ = 0;
   Socket socket_;
-  std::string bytes_;
+  std::string unread_bytes_;
   bool reset_ = false;  // this connection, instead of an end
   std::atomic<bool> stop_{false};
   std::thread thread_;
--- a/tests/soak_faults.h
+++ b/tests/soak_faults.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "mapped_fault_plan.h"
-#include "soak_world.h"
+#include "soak_record.h"
 
 namespace indigosaddle::testing {
 
@@ -21,33 +21,34 @@
   std::vector<std::string> Variables() const { return plan_.Variables(); }
 
   // One kind of call fails for up to 0.3 s: a client waits 0.4 s for its answer.
-  void Play() {
-    std::atomic<int>& call =
-        *Drawn({&plan_->accept, &plan_->connect, &plan_->socket, &plan_->read_socket, &plan_->write_socket,
-                &plan_->short_io, &plan_->write_file, &plan_->open_file, &plan_->rename_file});
+  void FailOneCallBriefly() {
+    std::atomic<int>& call = *DrawOneOf({&plan_->accept, &plan_->connect, &plan_->socket, &plan_->read_socket,
+                                         &plan_->write_socket, &plan_->short_io, &plan_->write_file,
+                                         &plan_->open_file, &plan_->rename_file});
     call = ErrorFor(call);
-    plan_->half = Drawn({0, 1});
-    std::this_thread::sleep_for(milliseconds(Drawn({50, 150, 300})));
+    plan_->half = DrawOneOf({0, 1});
+    std::this_thread::sleep_for(milliseconds(DrawOneOf({50, 150, 300})));
     call = 0;
     plan_->half = 0;
   }
   // The process dies within its next write to its folder.
-  void KillWithinAWrite() { plan_->kill_half = 1; }
-  void Over() { plan_->kill_half = 0; }
+  void KillDuringNextWrite() { plan_->kill_half = 1; }
+  void CancelKill() { plan_->kill_half = 0; }
 
  private:
   template <typename T>
-  T Drawn(std::initializer_list<T> all) {
-    const std::vector<T> of(all);
-    return of[std::uniform_int_distribution<std::size_t>(0, of.size() - 1)(random_)];
+  T DrawOneOf(std::initializer_list<T> values) {
+    const std::vector<T> choices(values);
+    return choices[std::uniform_int_distribution<std::size_t>(0, choices.size() - 1)(random_)];
   }
   int ErrorFor(const std::atomic<int>& call) {
-    if (&call == &plan_->accept) return Drawn({ECONNABORTED, ENOBUFS, EINTR, EPROTO});
-    if (&call == &plan_->connect) return Drawn({ENETUNREACH, EADDRNOTAVAIL, ETIMEDOUT, EHOSTUNREACH, EINTR});
-    if (&call == &plan_->socket) return Drawn({ENFILE, EMFILE, ENOBUFS});
+    if (&call == &plan_->accept) return DrawOneOf({ECONNABORTED, ENOBUFS, EINTR, EPROTO});
+    if (&call == &plan_->connect)
+      return DrawOneOf({ENETUNREACH, EADDRNOTAVAIL, ETIMEDOUT, EHOSTUNREACH, EINTR});
+    if (&call == &plan_->socket) return DrawOneOf({ENFILE, EMFILE, ENOBUFS});
     if (&call == &plan_->read_socket || &call == &plan_->write_socket) return EINTR;
     if (&call == &plan_->short_io) return 1;
-    return Drawn({ENOSPC, EIO, EDQUOT});
+    return DrawOneOf({ENOSPC, EIO, EDQUOT});
   }
 
   std::mt19937_64 random_;
--- a/tests/soak_files.h
+++ b/tests/soak_files.h
@@ -14,27 +14,27 @@
 namespace indigosaddle::testing {
 
 // A text for the file, and whether the page lets it come into force.
-struct DrawnFile {
+struct GeneratedFile {
   std::string text;
-  bool good = true;
+  bool valid = true;
   nlohmann::json document;  // of a good one
-  std::string about;        // for people
+  std::string description;  // for people
 };
 
 // Spoils a document in one place, after it has loosened the class whose rules change: where it came into
 // force all the same, repeats would show it.
-class FileBreaker {
+class FileCorrupter {
  public:
-  explicit FileBreaker(std::uint64_t seed) : random_(seed) {}
+  explicit FileCorrupter(std::uint64_t seed) : random_(seed) {}
 
-  DrawnFile Break(nlohmann::json document) {
-    Loosen(document);
+  GeneratedFile Corrupt(nlohmann::json document) {
+    RelaxClassRules(document);
     switch (Draw(6)) {
-      case 0: return Cut(document.dump());
+      case 0: return Truncate(document.dump());
       case 1: return {"", false, {}, "empty"};
-      case 2: return KeyTwice(document);
-      case 3: return OddValue(document);
-      default: return Without(document, Draw(3) == 0);
+      case 2: return DuplicateKey(document);
+      case 3: return InvalidValue(document);
+      default: return RemoveKey(document, Draw(3) == 0);
     }
   }
 
@@ -43,58 +43,58 @@
 
   int Draw(int most) { return std::uniform_int_distribution<int>(0, most)(random_); }
 
-  void Loosen(nlohmann::json& document) {
-    for (auto& one : document["settings"]["classes"]) {
-      if (one["name"] != kShiftingClass && one["name"] != "unsafe") continue;
-      one["effect"] = "read_like";
-      one["deadline"] = 2000.0 + 1000.0 * Draw(8);
+  void RelaxClassRules(nlohmann::json& document) {
+    for (auto& class_settings : document["settings"]["classes"]) {
+      if (class_settings["name"] != kChangingClass && class_settings["name"] != "unsafe") continue;
+      class_settings["effect"] = "read_like";
+      class_settings["deadline"] = 2000.0 + 1000.0 * Draw(8);
     }
   }
-  DrawnFile Cut(const std::string& text) {
-    const std::size_t at = std::uniform_int_distribution<std::size_t>(1, text.size() - 1)(random_);
-    return {text.substr(0, at), false, {}, "cut at " + std::to_string(at)};
+  GeneratedFile Truncate(const std::string& text) {
+    const std::size_t position = std::uniform_int_distribution<std::size_t>(1, text.size() - 1)(random_);
+    return {text.substr(0, position), false, {}, "cut at " + std::to_string(position)};
   }
-  DrawnFile KeyTwice(const nlohmann::json& document) {
+  GeneratedFile DuplicateKey(const nlohmann::json& document) {
     std::string text = document.dump();
     const std::string key = R"("effect":)";
     text.insert(text.rfind(key), key + R"("read_like",)");
     return {text, false, {}, "a key twice"};
   }
-  DrawnFile OddValue(nlohmann::json document) {
+  GeneratedFile InvalidValue(nlohmann::json document) {
     const std::vector<std::string> deadlines = {"/settings/classes/0/deadline", "/settings/caps/attemptsCap"};
     if (Draw(1) == 0) {
       const std::string path = deadlines[static_cast<std::size_t>(Draw(1))];
       document[Pointer(path)] = -Draw(5);
       return {document.dump(), false, {}, path + " not over 0"};
     }
-    const Pointer key = AnyKey(document);
+    const Pointer key = RandomKey(document);
     document[key] = document[key].is_string() ? nlohmann::json(5) : nlohmann::json("five");
     return {document.dump(), false, {}, key.to_string() + " of another type"};
   }
-  DrawnFile Without(nlohmann::json document, bool null) {
-    const Pointer key = AnyKey(document);
-    if (null) {
+  GeneratedFile RemoveKey(nlohmann::json document, bool set_to_null) {
+    const Pointer key = RandomKey(document);
+    if (set_to_null) {
       document[key] = nullptr;
     } else {
       document[key.parent_pointer()].erase(key.back());
     }
-    return {document.dump(), false, {}, key.to_string() + (null ? " null" : " gone")};
+    return {document.dump(), false, {}, key.to_string() + (set_to_null ? " null" : " gone")};
   }
 
   // Any key of any object in the document.
-  Pointer AnyKey(const nlohmann::json& document) {
+  Pointer RandomKey(const nlohmann::json& document) {
     std::vector<Pointer> keys;
-    Collect(document, Pointer(), keys);
+    CollectKeys(document, Pointer(), keys);
     return keys[std::uniform_int_distribution<std::size_t>(0, keys.size() - 1)(random_)];
   }
-  static void Collect(const nlohmann::json& value, const Pointer& at, std::vector<Pointer>& keys) {
+  static void CollectKeys(const nlohmann::json& value, const Pointer& parent, std::vector<Pointer>& keys) {
     if (value.is_object()) {
       for (const auto& [name, item] : value.items()) {
-        keys.push_back(at / name);
-        Collect(item, at / name, keys);
+        keys.push_back(parent / name);
+        CollectKeys(item, parent / name, keys);
       }
     } else if (value.is_array()) {
-      for (std::size_t i = 0; i < value.size(); ++i) Collect(value[i], at / i, keys);
+      for (std::size_t i = 0; i < value.size(); ++i) CollectKeys(value[i], parent / i, keys);
     }
   }
 
@@ -102,33 +102,35 @@
 };
 
 // Which file is in force at one node, by the page, and how many were taken and turned down since its start.
-class FilesInForce {
+class ActiveConfigModel {
  public:
   // True where what clients go by changed.
-  bool OnSignal(const DrawnFile& file) {
-    ++(file.good ? taken_ : refused_);
-    return Take(file);
+  bool OnReload(const GeneratedFile& file) {
+    ++(file.valid ? accepted_ : rejected_);
+    return Activate(file);
   }
-  bool OnStart(const DrawnFile& file) {
-    taken_ = refused_ = 0;
-    return Take(file);
+  bool OnStart(const GeneratedFile& file) {
+    accepted_ = rejected_ = 0;
+    return Activate(file);
   }
   const nlohmann::json& classes() const { return document_["settings"]["classes"]; }
-  int taken() const { return taken_; }
-  int refused() const { return refused_; }
+  int accepted() const { return accepted_; }
+  int rejected() const { return rejected_; }
   // Signals in a row may be told as one: `seen` are known only afterwards.
-  void OnSeveral(const DrawnFile& file, int seen) { (file.good ? taken_ : refused_) += seen - 1; }
-  void Recount(int taken, int refused) { taken_ = taken, refused_ = refused; }
+  void OnCoalescedReloads(const GeneratedFile& file, int reload_count) {
+    (file.valid ? accepted_ : rejected_) += reload_count - 1;
+  }
+  void SetCounts(int accepted, int rejected) { accepted_ = accepted, rejected_ = rejected; }
 
  private:
-  bool Take(const DrawnFile& file) {
-    if (!file.good) return false;
+  bool Activate(const GeneratedFile& file) {
+    if (!file.valid) return false;
     document_ = file.document;
     return true;
   }
 
   nlohmann::json document_;
-  int taken_ = 0, refused_ = 0;
+  int accepted_ = 0, rejected_ = 0;
 };
 
 }  // namespace indigosaddle::testing
--- a/tests/soak_rules.h
+++ b/tests/soak_rules.h
@@ -10,28 +10,30 @@
 #include <string>
 #include <vector>
 
-#include "soak_world.h"
+#include "soak_record.h"
 
 namespace indigosaddle::testing {
 
 struct SoakRules {
   std::string effect;
-  milliseconds key_life{0};
+  milliseconds key_lifetime{0};
 };
 
 // What a node's classes said over time. Clients learn of a change some time behind it.
 class RuleTimeline {
  public:
-  void Set(Clock::time_point at, const nlohmann::json& classes) {
+  void Add(Clock::time_point changed_at, const nlohmann::json& classes) {
     std::map<std::string, SoakRules> rules;
-    for (const auto& one : classes)
-      rules[one["name"]] = {one["effect"], milliseconds(static_cast<int>(one["keyTtl"].get<double>()))};
-    entries_.push_back({entries_.empty() ? Clock::time_point::min() : at + kClientsLearn, std::move(rules)});
+    for (const auto& class_settings : classes)
+      rules[class_settings["name"]] = {
+          class_settings["effect"], milliseconds(static_cast<int>(class_settings["keyTtl"].get<double>()))};
+    entries_.push_back(
+        {entries_.empty() ? Clock::time_point::min() : changed_at + kClientUpdateDelay, std::move(rules)});
   }
   // Nothing: its clients know no such class then.
-  std::optional<SoakRules> At(const std::string& message_class, Clock::time_point born) const {
-    const auto next =
-        std::find_if(entries_.begin(), entries_.end(), [&](const Entry& entry) { return entry.from > born; });
+  std::optional<SoakRules> At(const std::string& message_class, Clock::time_point created_at) const {
+    const auto next = std::find_if(entries_.begin(), entries_.end(),
+                                   [&](const Entry& entry) { return entry.from > created_at; });
     if (next == entries_.begin()) return std::nullopt;
     const auto& rules = std::prev(next)->rules;
     const auto it = rules.find(message_class);
@@ -39,7 +41,7 @@
   }
 
  private:
-  static constexpr milliseconds kClientsLearn{1200};
+  static constexpr milliseconds kClientUpdateDelay{1200};
   struct Entry {
     Clock::time_point from;
     std::map<std::string, SoakRules> rules;
@@ -58,15 +60,15 @@
     auto& classes = config["settings"]["classes"];
     switch (Draw(6)) {
       case 0:
-      case 1: Shifting(classes)["effect"] = Effects()[static_cast<std::size_t>(Draw(2))]; break;
-      case 2: Shifting(classes)["keyTtl"] = 1000.0 * (1 + 2 * Draw(2)); break;
+      case 1: ChangingClass(classes)["effect"] = Effects()[static_cast<std::size_t>(Draw(2))]; break;
+      case 2: ChangingClass(classes)["keyTtl"] = 1000.0 * (1 + 2 * Draw(2)); break;
       case 3: config["settings"]["caps"]["attemptsCap"] = 2 + Draw(10); break;
-      case 4: GuestComesOrGoes(classes); break;
-      case 5: Shifting(classes)["deadline"] = 2000.0 + 1000.0 * Draw(8); break;
+      case 4: ToggleTemporaryClass(classes); break;
+      case 5: ChangingClass(classes)["deadline"] = 2000.0 + 1000.0 * Draw(8); break;
       default:
-        if (!undo_.is_null()) config["settings"] = undo_;
+        if (!previous_settings_.is_null()) config["settings"] = previous_settings_;
     }
-    undo_ = before;
+    previous_settings_ = before;
   }
 
  private:
@@ -75,23 +77,24 @@
     return effects;
   }
   int Draw(int most) { return std::uniform_int_distribution<int>(0, most)(random_); }
-  static nlohmann::json& Shifting(nlohmann::json& classes) {
-    for (auto& one : classes)
-      if (one["name"] == kShiftingClass) return one;
+  static nlohmann::json& ChangingClass(nlohmann::json& classes) {
+    for (auto& class_settings : classes)
+      if (class_settings["name"] == kChangingClass) return class_settings;
     return classes.back();
   }
-  void GuestComesOrGoes(nlohmann::json& classes) {
-    const auto at = std::find_if(classes.begin(), classes.end(),
-                                 [](const auto& one) { return one["name"] == kGuestClass; });
-    if (at != classes.end()) return void(classes.erase(at));
-    nlohmann::json guest = Shifting(classes);
-    guest["name"] = kGuestClass;
-    guest["effect"] = Effects()[static_cast<std::size_t>(Draw(2))];
-    classes.push_back(guest);
+  void ToggleTemporaryClass(nlohmann::json& classes) {
+    const auto existing = std::find_if(classes.begin(), classes.end(), [](const auto& class_settings) {
+      return class_settings["name"] == kTemporaryClass;
+    });
+    if (existing != classes.end()) return void(classes.erase(existing));
+    nlohmann::json temporary_class = ChangingClass(classes);
+    temporary_class["name"] = kTemporaryClass;
+    temporary_class["effect"] = Effects()[static_cast<std::size_t>(Draw(2))];
+    classes.push_back(temporary_class);
   }
 
   std::mt19937_64 random_;
-  nlohmann::json undo_;
+  nlohmann::json previous_settings_;
 };
 
 }  // namespace indigosaddle::testing
--- a/tests/soak_seeds.h
+++ b/tests/soak_seeds.h
@@ -10,9 +10,9 @@
 
 inline std::vector<std::uint64_t> SoakSeeds() {
   std::uint64_t first = 1, count = 5;
-  if (const char* told = std::getenv("INDIGOSADDLE_SOAK")) {
-    first = std::strtoull(told, nullptr, 10);
-    if (const char* colon = std::strchr(told, ':')) count = std::strtoull(colon + 1, nullptr, 10);
+  if (const char* seed_range = std::getenv("INDIGOSADDLE_SOAK")) {
+    first = std::strtoull(seed_range, nullptr, 10);
+    if (const char* colon = std::strchr(seed_range, ':')) count = std::strtoull(colon + 1, nullptr, 10);
   }
   std::vector<std::uint64_t> seeds;
   for (std::uint64_t i = 0; i < count; ++i) seeds.push_back(first + i);
--- a/tests/stop_soak_node.h
+++ b/tests/stop_soak_node.h
@@ -18,28 +18,32 @@
 namespace indigosaddle::testing {
 
 // The platform's planned restart: SIGKILL so long behind SIGTERM, the next start so long behind that.
-constexpr milliseconds kStopKillAfter(3700), kStopStartAfter(600);
+constexpr milliseconds kPlannedStopKillDelay(3700), kPlannedStopStartDelay(600);
 
 class StopSoakNode {
  public:
-  StopSoakNode(PlatformStandIn& platform, int number, int senders, std::uint64_t seed)
-      : platform_(platform), number_(number), senders_(senders), random_(seed), hold_random_(seed + 1) {}
-  ~StopSoakNode() { StopHoldUps(); }
+  StopSoakNode(PlatformStandIn& platform, int number, int sender_count, std::uint64_t seed)
+      : platform_(platform),
+        number_(number),
+        sender_count_(sender_count),
+        random_(seed),
+        stall_random_(seed + 1) {}
+  ~StopSoakNode() { EndStalls(); }
 
   // The first process, on a port that its successors and later ones have too.
   void Start() {
     processes_.push_back(std::make_unique<NodeProcess>(platform_.address()));
     NodeProcess& first = *processes_.back();
     first.config["name"] = "n" + std::to_string(number_);
-    first.config["settings"]["balancers"] = senders_;
+    first.config["settings"]["balancers"] = sender_count_;
     ASSERT_TRUE(first.Start());
     first.config["listen"] = "127.0.0.1:" + std::to_string(first.port);
-    Use(first);
-    holder_ = std::thread([this] { HoldUps(); });
+    SetCurrent(first);
+    stall_thread_ = std::thread([this] { InjectStalls(); });
   }
-  void StopHoldUps() {
-    over_ = true;
-    if (holder_.joinable()) holder_.join();
+  void EndStalls() {
+    stalls_ended_ = true;
+    if (stall_thread_.joinable()) stall_thread_.join();
   }
 
   // One of the ways in which a platform stops a process, with what may come in series.
@@ -50,62 +54,63 @@
     if (kind == 1) Signal(SIGTERM);
     if (kind == 2) Signal(SIGHUP), Signal(SIGINT);
     stopping_ = true;
-    const auto kill_at = Clock::now() + kStopKillAfter;
+    const auto kill_at = Clock::now() + kPlannedStopKillDelay;
     if (kind == 3) {
       std::this_thread::sleep_for(milliseconds(Draw(3600)));
       Signal(SIGHUP);
     }
     AwaitEnd(*Current(), kill_at);
     view.port = 0;
-    std::this_thread::sleep_for(kStopStartAfter);
+    std::this_thread::sleep_for(kPlannedStopStartDelay);
     Restart();
   }
   // SIGKILL with no word before: all that its clients asked meanwhile may meet it.
   void Crash() {
-    ++view.kills;
+    ++view.kill_counter;
     view.port = 0;
     {
       const std::lock_guard lock(mutex_);
       current_->Signal(SIGCONT);
       current_->Kill(SIGKILL);
     }
-    ++view.kills;
-    std::this_thread::sleep_for(kStopStartAfter);
+    ++view.kill_counter;
+    std::this_thread::sleep_for(kPlannedStopStartDelay);
     Restart();
   }
   std::string Logs() const {
-    std::string all;
-    for (const auto& process : processes_) all += process->logs();
-    return all;
+    std::string text;
+    for (const auto& process : processes_) text += process->logs();
+    return text;
   }
   // The steps of its stops, for a failure's trace.
-  std::string Phases() const { return Lines({" phase ", " serving "}); }
+  std::string Phases() const { return LogLines({" phase ", " serving "}); }
   // What it did against its own tables.
-  std::string Breaks() const { return Lines({".break "}); }
+  std::string InvariantViolations() const { return LogLines({".break "}); }
   bool Ended() {
     const std::lock_guard lock(mutex_);
     return current_->Ended();
   }
-  int alive_at_kill() const { return alive_at_kill_; }
+  int overdue_stops() const { return overdue_stops_; }
 
   SoakClient::NodeView view;
 
  private:
-  std::string Lines(const std::vector<std::string>& marks) const {
+  std::string LogLines(const std::vector<std::string>& marks) const {
     std::istringstream lines(Logs());
-    std::string found;
+    std::string matching;
     for (std::string line; std::getline(lines, line);) {
       const bool marked = std::any_of(marks.begin(), marks.end(), [&](const std::string& mark) {
         return line.find(mark) != std::string::npos;
       });
-      if (marked) found += line + "\n";
+      if (marked) matching += line + "\n";
     }
-    return found;
+    return matching;
   }
 
   // Milliseconds, at most.
-  static constexpr int kPause = 900, kPauseInStop = 120, kBetweenInARow = 20, kMostHeld = 150;
-  static constexpr int kMostInARow = 4;
+  static constexpr int kMaxPauseMillis = 900, kMaxPauseInStopMillis = 120, kMaxPauseInSeriesMillis = 20,
+                       kMaxStallMillis = 150;
+  static constexpr int kMaxStallsInSeries = 4;
 
   // A process that replaces this one while it serves; SIGTERM to the old one behind the new one's yes.
   void Upgrade() {
@@ -117,15 +122,15 @@
     ASSERT_TRUE(next.Start());
     Signal(SIGTERM);
     stopping_ = true;
-    AwaitEnd(old, Clock::now() + kStopKillAfter);
-    Use(next);
+    AwaitEnd(old, Clock::now() + kPlannedStopKillDelay);
+    SetCurrent(next);
   }
   void Restart() {
     NodeProcess& process = *Current();
     ASSERT_TRUE(process.Start());
-    Use(process);
+    SetCurrent(process);
   }
-  void Use(NodeProcess& process) {
+  void SetCurrent(NodeProcess& process) {
     const std::lock_guard lock(mutex_);
     current_ = &process;
     stopping_ = false;
@@ -147,47 +152,50 @@
     };
     while (Clock::now() < kill_at && !ended()) std::this_thread::sleep_for(milliseconds(2));
     const std::lock_guard lock(mutex_);
-    if (!process.Ended()) ++alive_at_kill_;
+    if (!process.Ended()) ++overdue_stops_;
     process.Signal(SIGKILL);
     const int status = process.Wait();
     EXPECT_TRUE(status == 0 || status == -SIGKILL) << "it ended with " << status;
   }
 
-  void HoldUps() {
-    while (!over_) {
-      std::this_thread::sleep_for(milliseconds(HoldDraw(stopping_ ? kPauseInStop : kPause)));
-      for (int in_a_row = 1 + HoldDraw(kMostInARow - 1); in_a_row > 0 && !over_; --in_a_row) {
-        HoldUpOnce();
-        std::this_thread::sleep_for(milliseconds(HoldDraw(kBetweenInARow)));
+  void InjectStalls() {
+    while (!stalls_ended_) {
+      std::this_thread::sleep_for(
+          milliseconds(DrawForStall(stopping_ ? kMaxPauseInStopMillis : kMaxPauseMillis)));
+      for (int remaining = 1 + DrawForStall(kMaxStallsInSeries - 1); remaining > 0 && !stalls_ended_;
+           --remaining) {
+        StallOnce();
+        std::this_thread::sleep_for(milliseconds(DrawForStall(kMaxPauseInSeriesMillis)));
       }
     }
   }
-  void HoldUpOnce() {
+  void StallOnce() {
     if (view.port == 0) return;
-    NodeProcess* held = nullptr;
+    NodeProcess* stalled = nullptr;
     {
       const std::lock_guard lock(mutex_);
       if (current_->Ended()) return;
-      held = current_;
-      held->Signal(SIGSTOP);
+      stalled = current_;
+      stalled->Signal(SIGSTOP);
     }
-    std::this_thread::sleep_for(milliseconds(HoldDraw(1) == 0 ? kMostHeld : HoldDraw(kMostHeld)));
+    std::this_thread::sleep_for(
+        milliseconds(DrawForStall(1) == 0 ? kMaxStallMillis : DrawForStall(kMaxStallMillis)));
     const std::lock_guard lock(mutex_);
-    held->Signal(SIGCONT);  // nobody, where it was killed meanwhile
+    stalled->Signal(SIGCONT);  // nobody, where it was killed meanwhile
   }
 
   int Draw(int most) { return std::uniform_int_distribution<int>(0, most)(random_); }
-  int HoldDraw(int most) { return std::uniform_int_distribution<int>(0, most)(hold_random_); }
+  int DrawForStall(int most) { return std::uniform_int_distribution<int>(0, most)(stall_random_); }
 
   PlatformStandIn& platform_;
-  const int number_, senders_;
-  std::mt19937_64 random_, hold_random_;
+  const int number_, sender_count_;
+  std::mt19937_64 random_, stall_random_;
   std::vector<std::unique_ptr<NodeProcess>> processes_;  // all: the first one's folder is everyone's
   std::mutex mutex_;  // over each signal and each look at an end: no signal goes to a process that is reaped
   NodeProcess* current_ = nullptr;
-  std::atomic<bool> stopping_{false}, over_{false};
-  int alive_at_kill_ = 0;
-  std::thread holder_;
+  std::atomic<bool> stopping_{false}, stalls_ended_{false};
+  int overdue_stops_ = 0;
+  std::thread stall_thread_;
 };
 
 }  // namespace indigosaddle::testing
