--- a/tests/node_copies_soak_test.cpp
+++ b/tests/node_copies_soak_test.cpp
@@ -1,10 +1,10 @@
-// A soak in which peers say things twice: real processes that are stopped in series, replaced, killed and
-// held up, clients that use their connections until these end and some of whose commands come twice,
-// endpoints whose answers are copied, cut and delayed beside their known faults, a platform whose answers and
-// list come twice or whose posts are left unread. Judged by what endpoints, platform and clients did; nothing
-// is excused.
+// Soak test with duplicated and late input. Real node processes are stopped, signalled several times,
+// replaced, killed and stalled. Clients use each connection until it ends and send some commands twice.
+// Endpoints duplicate, truncate and delay responses besides their usual faults. The platform duplicates its
+// answers and lists, and leaves some posts unread. The checks use only what endpoints, platform and clients
+// recorded, and allow no exceptions.
 //
-//   INDIGOSADDLE_SOAK=FIRST:COUNT   plays these seeds instead of the few of the checks
+//   INDIGOSADDLE_SOAK=FIRST:COUNT   runs these seeds instead of the default ones
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -25,7 +25,7 @@
 
 class CopiesSoak : public ::testing::TestWithParam<std::uint64_t> {
  protected:
-  // Every fifth seed is a crowd.
+  // Every fifth seed runs with many nodes and few clients for each of them.
   void SetUp() override {
     random_.seed(GetParam());
     if (GetParam() % 5 != 0) return;
@@ -61,7 +61,8 @@
       return true;
     });
     platform_.ReadNotices([](int post) { return post % 5 != 0; });
-    // Behind lines of a watch the same line, and behind some a list of its first version, whole.
+    // Each line of a watch is followed by a copy of itself, every third one also by the complete list of the
+    // first version, which is out of date by then.
     platform_.BehindLines([this](Socket& socket, const std::string& chunk) {
       delayed_writes_.Write(socket, milliseconds(20), chunk);
       if (watch_lines_sent_++ % 3 != 0) return;
@@ -101,7 +102,8 @@
                                    1 + number % parameters_.destinations, health);
   }
 
-  // Every node is stopped once, killed or replaced; meanwhile an endpoint drains for good.
+  // Each node is stopped, killed or replaced once per round. Meanwhile one endpoint drains and doesn't
+  // return.
   void StopNodes() {
     std::vector<std::thread> threads;
     for (auto& node : nodes_) {
@@ -126,37 +128,39 @@
     for (auto& client : clients_) client->Stop();
     std::this_thread::sleep_for(kLongestTimeLimit + kNoticeAllowance);
     for (auto& node : nodes_) {
-      EXPECT_FALSE(node->Ended()) << "a process is gone";
-      EXPECT_EQ(node->overdue_stops(), 0) << "alive at the earliest kill";
+      EXPECT_FALSE(node->Ended()) << "a process ended unexpectedly";
+      EXPECT_EQ(node->overdue_stops(), 0) << "still running at the earliest SIGKILL";
       EXPECT_EQ(node->InvariantViolations(), "");
     }
-    EXPECT_EQ(endpoints_[0]->CallsFrom(drained_at_ + kDrainPropagation), 0) << "called although it drains";
+    EXPECT_EQ(endpoints_[0]->CallsFrom(drained_at_ + kDrainPropagation), 0)
+        << "called although it is draining";
     const auto calls = call_record_.calls();
     const auto notices = platform_.notices();
     int accepted = 0;
     for (const auto& [id, message] : client_record_.messages()) {
       EXPECT_FALSE(message.closed_without_reply && !message.node_killed)
-          << id << " was written whole and got no answer: " << message.close_description;
+          << id << " was fully written and got no reply: " << message.close_description;
       const auto it = calls.find(id);
       const std::vector<JudgedCall> message_calls =
           it == calls.end() ? std::vector<JudgedCall>{} : it->second;
-      EXPECT_FALSE(Overlap(message_calls)) << id << " was called twice at once" << LogLines(id);
+      EXPECT_FALSE(Overlap(message_calls)) << id << " had two calls in flight at once" << LogLines(id);
       if (message.message_class == "unsafe") ExpectAtMostOneExecution(id, message_calls);
       if (message.reply != "+OK") continue;
       ++accepted;
-      EXPECT_TRUE(Served(message_calls) || notices.contains(id)) << id << " has no end" << LogLines(id);
+      EXPECT_TRUE(Served(message_calls) || notices.contains(id)) << id << " has no outcome" << LogLines(id);
     }
     EXPECT_GT(accepted, 50);
     std::cout << "[   soak   ] seed " << GetParam() << ": " << client_record_.messages().size()
-              << " messages, " << accepted << " taken on, " << notices.size() << " notices, "
-              << delayed_writes_.written() << " things said later\n";
+              << " messages, " << accepted << " accepted, " << notices.size() << " notices, "
+              << delayed_writes_.written() << " delayed writes\n";
   }
   void ExpectAtMostOneExecution(const std::string& id, const std::vector<JudgedCall>& calls) const {
     const auto may_have_run =
         std::count_if(calls.begin(), calls.end(), [](const JudgedCall& call) { return call.status != 503; });
-    EXPECT_LE(may_have_run, 1) << id << " was called again though it may have run" << LogLines(id);
+    EXPECT_LE(may_have_run, 1) << id << " was called again although it may have been executed"
+                               << LogLines(id);
   }
-  // What the logs say of a message, for a failure's trace.
+  // The node's log lines about a message, for a failure message.
   std::string LogLines(const std::string& id) const {
     std::istringstream log_lines(nodes_[static_cast<std::size_t>(NodeNumberOf(id))]->Logs());
     std::string matching = "\n";
@@ -170,7 +174,9 @@
  private:
   inline static const std::vector<std::string> kClasses = {"safe", "keyed", "unsafe"};
   static constexpr double kDuplicateCommandShare = 0.1;
-  // Of a drain, through a hold-up, a start and what the platform allows.
+  // kNoticeAllowance is how long after a message's deadline its notice may arrive. kDrainPropagation is how
+  // long a drain may take to reach all nodes, through a stall, a start and the delay that the platform
+  // allows.
   static constexpr milliseconds kLongestTimeLimit{3000}, kNoticeAllowance{1800}, kDrainPropagation{1500};
 
   CopiesSoakParameters parameters_;
@@ -187,7 +193,8 @@
   std::vector<std::unique_ptr<SoakClient>> clients_;
 };
 
-// Guards against a message without its one end, or with two calls at once, whatever comes twice.
+// Guards against a message that never gets an outcome, or that has two calls in flight at once, when
+// commands, responses, lists and notices' answers are duplicated.
 TEST_P(CopiesSoak, EachMessageHasItsEndAndOneCallAtATime) {
   Build();
   StopNodes();
--- a/tests/node_soak_test.cpp
+++ b/tests/node_soak_test.cpp
@@ -1,9 +1,9 @@
-// A soak over real processes on loopback: clients use open connections until the kill, signals come in
-// series, settings change in flight, on some runs calls to the system fail for a moment, and every message
-// that was taken on has its one end in time and goes by the rules that it was born under, whatever happens to
-// the processes meanwhile.
+// Soak test over real processes on loopback. Clients use open connections until the process is killed,
+// signals arrive in series, settings change while messages are in flight, and for some seeds system calls
+// fail for short periods. Each accepted message must have exactly one outcome in time, and must be handled by
+// the rules that applied when its client created it, whatever happens to the processes.
 //
-//   INDIGOSADDLE_SOAK=FIRST:COUNT   plays these seeds instead of the few of the checks
+//   INDIGOSADDLE_SOAK=FIRST:COUNT   runs these seeds instead of the default ones
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -20,12 +20,12 @@
   int nodes = 3, clients = 4, endpoints = 3;
   milliseconds pause{30};
   double failure_share = 0.2;
-  bool system_call_faults = false;  // of calls to the system
+  bool system_call_faults = false;  // system calls fail for short periods
 };
 
 class Soak : public ::testing::TestWithParam<std::uint64_t> {
  protected:
-  // Every fifth seed is a crowd; under every third calls to the system fail.
+  // Every fifth seed runs with many nodes and few clients; for every third one system calls fail at times.
   static SoakParameters ParametersFor(std::uint64_t seed) {
     SoakParameters parameters;
     if (seed % 5 == 0) parameters = {16, 2, 2, milliseconds(400), 0.1};
@@ -56,7 +56,8 @@
     }
   }
 
-  // Trouble in series at nodes that the seed draws, with an endpoint down for a while.
+  // Rounds of changed settings, signals and faults at nodes that the seed selects. The first endpoint is down
+  // during the first two rounds.
   void DisturbNodes(std::uint64_t seed) {
     random_.seed(seed);
     endpoints_[0]->SetDown(true);
@@ -75,7 +76,7 @@
       node.ReloadChangedFile(), std::this_thread::sleep_for(milliseconds(Draw(300)));
     for (int i = Draw(3); i > 0; --i) node.ReloadCorruptFile();
     if (Draw(3) == 0) node.ReplaceCorruptFileBetweenHangups();
-    if (Draw(3) == 0) node.WriteChangedFile();  // for its next start, or with the next signal
+    if (Draw(3) == 0) node.WriteChangedFile();  // read at its next start or SIGHUP
     if (Draw(3) == 0) node.WriteCorruptFile();
   }
 
@@ -111,37 +112,38 @@
 
   void CheckResults() {
     for (auto& client : clients_) client->Stop();
-    for (auto& node : nodes_) EXPECT_FALSE(node->Ended()) << "a process is gone";
-    // The longest time of a message, and what the platform allows behind it.
+    for (auto& node : nodes_) EXPECT_FALSE(node->Ended()) << "a process ended unexpectedly";
+    // The longest time limit of a message, plus the delay that the platform allows for its notice.
     std::this_thread::sleep_for(milliseconds(3000) + kNoticeTolerance + kGraceAfterReady);
     calls_ = record_.calls();
     notices_ = platform_.notices();
     int accepted = 0;
     for (const auto& [id, message] : record_.messages()) {
       EXPECT_FALSE(message.closed_without_reply && !message.node_killed)
-          << id << " was read and its connection closed";
+          << id << " was read and its connection closed without a reply";
       ExpectRulesRespected(id, message);
       if (message.reply != "+OK") continue;
       ++accepted;
-      EXPECT_TRUE(record_.Served(id) || notices_.contains(id)) << id << " has no end";
+      EXPECT_TRUE(record_.Served(id) || notices_.contains(id)) << id << " has no outcome";
       if (!record_.Served(id)) ExpectNoticeInTime(id, message);
     }
     EXPECT_GT(accepted, 50);
     std::cout << "[   soak   ] seed " << GetParam() << ": " << record_.messages().size() << " messages, "
-              << accepted << " taken on, " << notices_.size() << " notices\n";
+              << accepted << " accepted, " << notices_.size() << " notices\n";
   }
   const SoakNode& NodeOf(const std::string& id) const {
     return *nodes_[static_cast<std::size_t>(NodeNumberOf(id))];
   }
-  // Its notice came by the end of its time, but for the restarts of its node.
+  // The message's notice arrived by its deadline, unless its node was restarting then.
   void ExpectNoticeInTime(const std::string& id, const SentMessage& message) {
     const std::optional<Clock::time_point> noticed_at = platform_.ToldAt(id);
     const Clock::time_point deadline = message.enqueue_began_at + message.time_limit;
     if (!noticed_at || NodeOf(id).InRestartGracePeriod(deadline)) return;
-    EXPECT_LE(*noticed_at, deadline + kNoticeTolerance) << id << " was told late";
+    EXPECT_LE(*noticed_at, deadline + kNoticeTolerance) << id << " got its notice too late";
   }
-  // Behind a call that may have run: nothing of an unsafe message, neither another call nor its hand-back; of
-  // a keyed one, whose key every endpoint knows, calls in the key's life.
+  // After a call that the endpoint may have executed, an unsafe message must be neither called again nor
+  // returned. A message with an idempotency key may be called again while its key is valid: every endpoint
+  // knows the key.
   void ExpectRulesRespected(const std::string& id, const SentMessage& message) {
     const auto rules = NodeOf(id).timeline().At(message.message_class, message.created_at);
     const auto calls = calls_.find(id);
@@ -152,15 +154,16 @@
     if (first == calls->second.end()) return;
     const bool unsafe = rules->effect == "non_idempotent";
     for (auto call = std::next(first); call != calls->second.end(); ++call) {
-      EXPECT_FALSE(unsafe) << id << " was called again though it may have run";
+      EXPECT_FALSE(unsafe) << id << " was called again although it may have been executed";
       EXPECT_LE(call->arrived_at, first->arrived_at + rules->key_lifetime)
-          << id << " was called again behind its key's life";
+          << id << " was called again after its idempotency key had expired";
     }
     if (!unsafe) return;
     const auto notice = notices_.find(id);
     EXPECT_FALSE(notice != notices_.end() && notice->second.front()["state"] == "returned")
-        << id << " was handed back though it may have run";
-    EXPECT_FALSE(message.reply.starts_with("-BUSY")) << id << " was refused though it may have run";
+        << id << " was returned although it may have been executed";
+    EXPECT_FALSE(message.reply.starts_with("-BUSY"))
+        << id << " was refused although it may have been executed";
   }
 
  private:
@@ -179,6 +182,8 @@
   std::map<std::string, std::vector<nlohmann::json>> notices_;
 };
 
+// Guards against an accepted message without an outcome and against a repeated execution, over restarts,
+// kills, reloads and system call faults.
 TEST_P(Soak, EveryMessageHasItsEndAndNoneRunsTwice) {
   Build(GetParam());
   DisturbNodes(GetParam());
--- a/tests/node_stop_soak_test.cpp
+++ b/tests/node_stop_soak_test.cpp
@@ -1,10 +1,10 @@
-// A soak of planned stops: real processes that are stopped, replaced and restarted as the platform does it,
-// held up for up to 0.15 s anywhere and several times in a row, with clients that use their connections until
-// these end, some of them sending in pieces. A request that is written whole to an open connection is
-// answered, or crossed the orderly end of a resting one and is answered on a new one; nothing round a planned
-// stop is excused.
+// Soak test of planned stops. Real processes are stopped, replaced and restarted as the platform does it, and
+// are stalled for up to 0.15 s at any point, several times in a row. Clients use each connection until it
+// ends, and some send commands in pieces. A request that was fully written to an open connection must be
+// answered; one that crossed the orderly end of an idle connection must be answered on a new one. There are
+// no exceptions around a planned stop.
 //
-//   INDIGOSADDLE_SOAK=FIRST:COUNT   plays these seeds instead of the few of the checks
+//   INDIGOSADDLE_SOAK=FIRST:COUNT   runs these seeds instead of the default ones
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -24,7 +24,7 @@
 
 class StopSoak : public ::testing::TestWithParam<std::uint64_t> {
  protected:
-  // Every fifth seed is a crowd.
+  // Every fifth seed runs with many nodes and few clients for each of them.
   static StopSoakParameters ParametersFor(std::uint64_t seed) {
     StopSoakParameters parameters;
     if (seed % 5 == 0) {
@@ -58,7 +58,7 @@
     }
   }
 
-  // Every node is stopped a few times; one in eight times it is killed with no word instead.
+  // Each node is stopped once per round; one time in eight it is killed without a SIGTERM instead.
   void StopNodes(std::uint64_t seed) {
     std::vector<std::thread> threads;
     for (auto& node : nodes_) {
@@ -78,35 +78,35 @@
 
   void CheckResults() {
     for (auto& client : clients_) client->Stop();
-    // The longest time of a message, and what the platform allows behind it.
+    // The longest time limit of a message, plus the delay that the platform allows for its notice.
     std::this_thread::sleep_for(kLongestTimeLimit + kNoticeAllowance);
     int overdue_stops = 0;
     for (auto& node : nodes_) {
-      EXPECT_FALSE(node->Ended()) << "a process is gone";
+      EXPECT_FALSE(node->Ended()) << "a process ended unexpectedly";
       EXPECT_EQ(node->Logs().find(" phase.break "), std::string::npos);
       overdue_stops += node->overdue_stops();
     }
-    EXPECT_EQ(overdue_stops, 0) << "alive at the earliest kill";
+    EXPECT_EQ(overdue_stops, 0) << "still running at the earliest SIGKILL";
     const auto calls = record_.calls();
     const auto notices = platform_.notices();
     int accepted = 0, unanswered = 0;
     for (const auto& [id, message] : record_.messages()) {
       EXPECT_FALSE(message.closed_without_reply && !message.node_killed)
-          << id << " was written whole and got no answer: " << message.close_description << ", at "
+          << id << " was fully written and got no reply: " << message.close_description << ", at "
           << WallMillis(message.fully_written_at) << "\n"
           << nodes_[static_cast<std::size_t>(NodeNumberOf(id))]->Phases();
       unanswered += message.reply.empty() ? 1 : 0;
       ExpectNoUnsafeRepeat(id, message, calls);
       if (message.reply != "+OK") continue;
       ++accepted;
-      EXPECT_TRUE(record_.Served(id) || notices.contains(id)) << id << " has no end";
+      EXPECT_TRUE(record_.Served(id) || notices.contains(id)) << id << " has no outcome";
     }
     EXPECT_GT(accepted, 50);
     std::cout << "[   soak   ] seed " << GetParam() << ": " << record_.messages().size() << " messages, "
-              << accepted << " taken on, " << unanswered << " not answered in 0.4 s, " << notices.size()
+              << accepted << " accepted, " << unanswered << " not answered in 0.4 s, " << notices.size()
               << " notices\n";
   }
-  // As the nodes' logs tell time.
+  // Converts to Unix time in milliseconds, as in the nodes' logs.
   static std::int64_t WallMillis(Clock::time_point at) {
     const auto age = Clock::now() - at;
     const auto wall = std::chrono::system_clock::now() - age;
@@ -119,7 +119,7 @@
     const auto may_have_run =
         std::count_if(seen->second.begin(), seen->second.end(),
                       [](const ObservedCall& call) { return call.answer != CallAnswer::kRefused; });
-    EXPECT_LE(may_have_run, 1) << id << " was called again though it may have run";
+    EXPECT_LE(may_have_run, 1) << id << " was called again although it may have been executed";
   }
 
  private:
@@ -134,8 +134,8 @@
   std::vector<std::unique_ptr<SoakClient>> clients_;
 };
 
-// Guards against a request that a planned stop leaves without its one answer and end, whatever holds the
-// process up.
+// Guards against a request that gets no reply, or no outcome, because of a planned stop while the process is
+// stalled.
 TEST_P(StopSoak, EachRequestIsAnsweredAndHasItsEnd) {
   Build(GetParam());
   StopNodes(GetParam());
--- a/tests/soak_client.h
+++ b/tests/soak_client.h
@@ -1,4 +1,4 @@
-// A client of a soak.
+// A client of a soak test: enqueues messages at one node and records the replies.
 #pragma once
 
 #include <poll.h>
@@ -19,19 +19,20 @@
 
 namespace indigosaddle::testing {
 
-// A client with one connection at a time, which it uses for as long as it is open. A request that crosses the
-// orderly end of a resting connection is sent once more, on a new one; on that it must get its answer. A
-// reset is no orderly end.
+// A client with one connection at a time, which it uses for as long as it is open. It runs on a thread of its
+// own from construction to Stop(). A request that crosses the orderly end of an idle connection is sent once
+// more on a new connection, where it must get its reply. A reset is not an orderly end.
 class SoakClient {
  public:
-  // `port` is the node's, 0 while it is down; `kills` is odd while its process may end by other than a
-  // planned stop.
+  // The node as its clients see it. `port` is 0 while the node is down; `kill_counter` is odd while its
+  // process may end otherwise than by a planned stop.
   struct NodeView {
     std::atomic<int> port{0}, kill_counter{0};
   };
 
-  // `copied`: the share of its commands that come a second time, on another connection, 1 to 300 ms later.
-  // `slow`: it sends its commands in pieces, with pauses between them.
+  // `record` and `node` must outlive the client. `slow`: it sends its commands in pieces, with pauses between
+  // them. `duplicate_share`: the share of its commands that it sends again on another connection, 1 to 300 ms
+  // later.
   SoakClient(SoakRecord& record, NodeView& node, std::string prefix, int destinations, std::uint64_t seed,
              milliseconds pause, std::vector<std::string> classes, bool slow = false,
              double duplicate_share = 0)
@@ -72,7 +73,7 @@
     return names[std::uniform_int_distribution<std::size_t>(0, names.size() - 1)(random_)];
   }
 
-  // Behind a refusal, with what is left of its time, and a new id.
+  // Sends a refused message again, with a new id and the time that remains until its deadline.
   void EnqueueAgain(const std::string& id, SentMessage message) {
     std::this_thread::sleep_for(milliseconds(std::uniform_int_distribution<int>(20, 300)(random_)));
     const auto elapsed = std::chrono::duration_cast<milliseconds>(Clock::now() - message.created_at);
@@ -80,7 +81,7 @@
     if (message.time_limit > milliseconds(200)) Enqueue(id + "-again", ",r=1", message);
   }
 
-  // True where it was refused.
+  // Sends the message and records what came of it. Returns true if the node refused it.
   bool Enqueue(const std::string& id, const std::string& extra_options, SentMessage& message) {
     const std::string bytes = ClientStandIn::Enqueue(
         id, "c=" + message.message_class + ",k=" + id + ",d=" + std::to_string(message.time_limit.count()) +
@@ -91,12 +92,12 @@
     message.reply.clear();
     bool written = (reused || Connect()) && (slow_ ? WriteInPieces(bytes) : socket_.Write(bytes));
     if (written && std::bernoulli_distribution(duplicate_share_)(random_)) ScheduleDuplicate(bytes);
-    if (slow_ && !written) return socket_.Close(), false;  // it was answered or ended before the last byte
+    if (slow_ && !written) return socket_.Close(), false;  // answered or closed before the last byte
     const auto fully_written_at = Clock::now();
     if (written) message.reply = ReadLine();
     const bool reset = written && message.reply.empty() && WasReset();
     if (message.reply.empty() && reused && !reset &&
-        Clock::now() - fully_written_at < kReplyTimeout) {  // it crossed the end
+        Clock::now() - fully_written_at < kReplyTimeout) {  // crossed the end
       socket_.Close();
       message.enqueue_began_at = Clock::now();
       written = Connect() && socket_.Write(bytes);
@@ -115,7 +116,7 @@
     return message.reply.starts_with("-BUSY");
   }
 
-  // What the node answers there has nobody to hear it.
+  // The reply to the duplicate isn't read.
   void ScheduleDuplicate(const std::string& bytes) {
     if (node_.port == 0) return;
     duplicate_connections_.push_back(Socket::Connect(node_.port));
@@ -132,7 +133,7 @@
     return reset_ || error == ECONNRESET;
   }
 
-  // False where something came on the connection before the last piece was written, its end among it.
+  // Returns false if anything arrived on the connection before the last piece was written, its end included.
   bool WriteInPieces(std::string_view bytes) {
     while (bytes.size() > 1) {
       const std::size_t piece = std::uniform_int_distribution<std::size_t>(1, bytes.size() - 1)(random_);
@@ -187,7 +188,7 @@
   int pieces_sent_ = 0;
   Socket socket_;
   std::string unread_bytes_;
-  bool reset_ = false;  // this connection, instead of an end
+  bool reset_ = false;  // this connection was reset instead of closed in order
   std::atomic<bool> stop_{false};
   std::thread thread_;
 };
--- a/tests/soak_faults.h
+++ b/tests/soak_faults.h
@@ -1,4 +1,4 @@
-// Calls to the system that fail for a moment under a node of a soak, as a seed draws.
+// System calls that fail for a short time in a node of a soak test, selected by a seed.
 #pragma once
 
 #include <cerrno>
@@ -13,14 +13,16 @@
 
 namespace indigosaddle::testing {
 
+// Injects system call faults into the processes of one node through the fault plan that they map.
 class SoakFaults {
  public:
-  // Of a node with this folder.
+  // `folder` is the node's; the files of the fault plan are in it.
   SoakFaults(std::uint64_t seed, const std::string& folder)
       : random_(seed), plan_(folder + "/plan", folder + "/state") {}
+  // Environment variables that the node's processes need.
   std::vector<std::string> Variables() const { return plan_.Variables(); }
 
-  // One kind of call fails for up to 0.3 s: a client waits 0.4 s for its answer.
+  // Makes one kind of call fail for up to 0.3 s; a client waits 0.4 s for its reply. Blocks meanwhile.
   void FailOneCallBriefly() {
     std::atomic<int>& call = *DrawOneOf({&plan_->accept, &plan_->connect, &plan_->socket, &plan_->read_socket,
                                          &plan_->write_socket, &plan_->short_io, &plan_->write_file,
@@ -31,7 +33,7 @@
     call = 0;
     plan_->half = 0;
   }
-  // The process dies within its next write to its folder.
+  // Kills the process in the middle of its next write to its folder.
   void KillDuringNextWrite() { plan_->kill_half = 1; }
   void CancelKill() { plan_->kill_half = 0; }
 
--- a/tests/soak_files.h
+++ b/tests/soak_files.h
@@ -1,6 +1,7 @@
-// Files of the platform's that a soak draws, good and broken, and a model of which one is in force. The model
-// is the page's: a file that is empty, cut off, short of a key or of no use in a value leaves the old
-// settings whole; any other is in force from its signal or start on. It shares no code with the node.
+// Configuration files that a soak test generates, valid and corrupt, and a model of which one is active. The
+// model follows the specification: a file that is empty, truncated, lacks a key or has an unusable value
+// leaves the previous settings unchanged as a whole; any other file is active from its SIGHUP or start on.
+// The model shares no code with the node.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -13,16 +14,16 @@
 
 namespace indigosaddle::testing {
 
-// A text for the file, and whether the page lets it come into force.
+// A configuration file, and whether the specification lets it take effect.
 struct GeneratedFile {
   std::string text;
   bool valid = true;
-  nlohmann::json document;  // of a good one
-  std::string description;  // for people
+  nlohmann::json document;  // empty if the file is invalid
+  std::string description;  // for failure messages
 };
 
-// Spoils a document in one place, after it has loosened the class whose rules change: where it came into
-// force all the same, repeats would show it.
+// Corrupts a document in one place, after it has relaxed the rules of two classes: if the node applied the
+// corrupt file anyway, repeated calls would show it.
 class FileCorrupter {
  public:
   explicit FileCorrupter(std::uint64_t seed) : random_(seed) {}
@@ -81,7 +82,7 @@
     return {document.dump(), false, {}, key.to_string() + (set_to_null ? " null" : " gone")};
   }
 
-  // Any key of any object in the document.
+  // Selects any key of any object in the document.
   Pointer RandomKey(const nlohmann::json& document) {
     std::vector<Pointer> keys;
     CollectKeys(document, Pointer(), keys);
@@ -101,10 +102,12 @@
   std::mt19937_64 random_;
 };
 
-// Which file is in force at one node, by the page, and how many were taken and turned down since its start.
+// The specified behaviour of one node: which configuration is active, and how many reloads were accepted and
+// rejected since its start.
 class ActiveConfigModel {
  public:
-  // True where what clients go by changed.
+  // The node has read `file` on a SIGHUP or at its start. Returns true if the active configuration was
+  // replaced.
   bool OnReload(const GeneratedFile& file) {
     ++(file.valid ? accepted_ : rejected_);
     return Activate(file);
@@ -116,7 +119,8 @@
   const nlohmann::json& classes() const { return document_["settings"]["classes"]; }
   int accepted() const { return accepted_; }
   int rejected() const { return rejected_; }
-  // Signals in a row may be told as one: `seen` are known only afterwards.
+  // Adds the reloads beyond the first of a series of signals. The system may merge signals, so the number of
+  // reloads is known only afterwards.
   void OnCoalescedReloads(const GeneratedFile& file, int reload_count) {
     (file.valid ? accepted_ : rejected_) += reload_count - 1;
   }
--- a/tests/soak_node.h
+++ b/tests/soak_node.h
@@ -1,4 +1,5 @@
-// One node of a soak over all its processes: signals as the platform sends them, and files that change.
+// One node of a soak test with all its processes: signals as the platform sends them, and configuration
+// changes.
 #pragma once
 
 #include <csignal>
@@ -14,11 +15,14 @@
 
 namespace indigosaddle::testing {
 
-// The platform's planned restart: SIGKILL so long behind SIGTERM, the next start so long behind that.
+// Delays of the platform's planned restart: from SIGTERM to SIGKILL, and from there to the next start.
 constexpr milliseconds kKillDelay(3700), kStartDelay(600);
+// How late a notice may arrive: normally, and after a node is ready again.
 constexpr milliseconds kNoticeTolerance(300), kGraceAfterReady(1500);
 constexpr double kClassDeadlineMillis = 5000;
 
+// Owns the node's processes, its configuration file and the model of what is active. `platform` must outlive
+// it.
 class SoakNode {
  public:
   SoakNode(PlatformStandIn& platform, int number, int sender_count, std::uint64_t seed)
@@ -33,12 +37,12 @@
     file_on_disk_ = ValidFile();
   }
   void Start() {
-    // Where the folder took no writes for a while, what was in force may be kept nowhere.
+    // If writes to the folder failed for a while, the active configuration may not have been stored.
     if (faults_ && !file_on_disk_.valid) file_on_disk_ = ValidFile();
     process_.raw_config = file_on_disk_.text;
     if (active_config_.OnStart(file_on_disk_)) timeline_.Add(Clock::now(), active_config_.classes());
     if (!process_.Start()) {
-      ADD_FAILURE() << "it does not start";
+      ADD_FAILURE() << "the node does not start";
       return;
     }
     view.port = process_.port;
@@ -50,15 +54,15 @@
     ++view.kill_counter;
     view.port = 0;
     process_.Kill(SIGKILL);
-    ++view.kill_counter;  // what was asked meanwhile met the kill as well
+    ++view.kill_counter;  // requests sent meanwhile are affected by the kill too
   }
-  // From now on calls to the system may fail under its processes.
+  // Lets system calls fail in the processes that are started from now on.
   void UseFaults(std::uint64_t seed) {
     faults_.emplace(seed, process_.folder);
     process_.extra_variables = faults_->Variables();
   }
   SoakFaults& faults() { return *faults_; }
-  // Dies by itself within a write; the half of it is what the next process finds.
+  // The process is killed in the middle of a write, so that its successor finds a truncated record.
   void CrashDuringWrite() {
     restarts_.push_back({Clock::now(), {}});
     ++view.kill_counter;
@@ -70,16 +74,17 @@
     std::this_thread::sleep_for(kStartDelay);
     Start();
   }
-  // SIGTERM; clients go on with what is open; the kill comes at the earliest that the platform allows.
+  // Planned restart: SIGTERM, then SIGKILL at the earliest time that the platform allows, then a new process.
+  // Clients keep using open connections meanwhile.
   void Restart(bool signal_twice) {
     restarts_.push_back({Clock::now(), {}});
     process_.Signal(SIGTERM);
     if (signal_twice) process_.Signal(SIGTERM);
     const auto kill_at = Clock::now() + kKillDelay;
     while (Clock::now() < kill_at && !process_.Ended()) std::this_thread::sleep_for(milliseconds(2));
-    EXPECT_TRUE(process_.Ended()) << "alive at the earliest kill";
+    EXPECT_TRUE(process_.Ended()) << "still running at the earliest SIGKILL";
     if (process_.Ended()) {
-      EXPECT_EQ(process_.Wait(), 0) << "it ended badly";
+      EXPECT_EQ(process_.Wait(), 0) << "the process ended with an error";
     }
     view.port = 0;
     process_.Kill(SIGKILL);
@@ -88,36 +93,36 @@
   }
   void Signal(int number) { process_.Signal(number); }
 
-  // A new file and SIGHUP; back once the node has read it.
+  // Writes a new valid file and sends SIGHUP. Returns once the node has read the file.
   void ReloadChangedFile() {
     settings_changer_.Change(process_.config);
     Write(ValidFile());
     Hangup();
   }
-  // A file that can't be used: the node goes on as it was, also over a restart.
+  // Writes an unusable file and sends SIGHUP. The node must keep its configuration, also over a restart.
   void ReloadCorruptFile() {
     Write(file_corrupter_.Corrupt(process_.config));
     Hangup();
   }
-  // A new file without a signal, for the next start or SIGHUP.
+  // Writes a new file without a signal; the node reads it at its next start or SIGHUP.
   void WriteChangedFile() {
     settings_changer_.Change(process_.config);
     Write(ValidFile());
   }
   void WriteCorruptFile() { Write(file_corrupter_.Corrupt(process_.config)); }
-  // SIGHUP; back once the node has read its file.
+  // Sends SIGHUP. Returns once the node has read its file.
   void Hangup() {
     const ReloadCounts before = CurrentReloadCounts();
     process_.Signal(SIGHUP);
     ExpectReloads(before, 1);
   }
-  // Several in a row; the system may tell some of them as one.
+  // Sends several SIGHUPs; the system may merge some of them.
   void Hangups(int signals, milliseconds pause) {
     const ReloadCounts before = CurrentReloadCounts();
     for (int i = 0; i < signals; ++i) process_.Signal(SIGHUP), std::this_thread::sleep_for(pause);
     ExpectReloads(before, signals);
   }
-  // A broken file that a good one replaces between two signals in a row: either may be read at the first.
+  // Replaces a corrupt file by a valid one between two SIGHUPs. At the first signal the node may read either.
   void ReplaceCorruptFileBetweenHangups() {
     const ReloadCounts before = CurrentReloadCounts();
     process_.WriteConfig(file_corrupter_.Corrupt(process_.config).text);
@@ -126,14 +131,15 @@
     Write(ValidFile());
     process_.Signal(SIGHUP);
     const ReloadCounts now = AwaitReloads(before);
-    EXPECT_GE(now.accepted, before.accepted + 1) << "the good file was not taken";
+    EXPECT_GE(now.accepted, before.accepted + 1) << "the valid file was not accepted";
     EXPECT_LE(now.reloads, before.reloads + 2);
     if (active_config_.OnReload(file_on_disk_)) timeline_.Add(Clock::now(), active_config_.classes());
     active_config_.SetCounts(now.accepted, now.rejected);
   }
 
   bool Ended() { return process_.Ended(); }
-  // No notice is overdue from the signal of a restart until some time after it is ready again.
+  // Whether a notice due at `deadline` may be late: from the signal of a restart until kGraceAfterReady after
+  // the node is ready again.
   bool InRestartGracePeriod(Clock::time_point deadline) const {
     return std::any_of(restarts_.begin(), restarts_.end(), [&](const RestartPeriod& period) {
       return deadline + kNoticeTolerance >= period.from &&
@@ -149,7 +155,7 @@
     Clock::time_point from, to;
   };
 
-  // What the node's log says of its files: each SIGHUP is one line, whatever it brings.
+  // The node's reloads according to its log, which has one line for each, accepted or rejected.
   struct ReloadCounts {
     int reloads = 0, accepted = 0, rejected = 0;
   };
@@ -160,12 +166,13 @@
     process_.WriteConfig(file_on_disk_.text);
   }
 
-  // The file was read once at least, `most` times at most, and judged as the page has it each time.
+  // Checks that the file was read between once and `max_reloads` times, and each time accepted or rejected as
+  // specified.
   void ExpectReloads(const ReloadCounts& before, int max_reloads) {
     if (active_config_.OnReload(file_on_disk_)) timeline_.Add(Clock::now(), active_config_.classes());
     const ReloadCounts now = AwaitReloads(before);
     const int new_reloads = now.reloads - before.reloads;
-    EXPECT_GE(new_reloads, 1) << "it did not read its file";
+    EXPECT_GE(new_reloads, 1) << "the node did not read its file";
     EXPECT_LE(new_reloads, max_reloads);
     active_config_.OnCoalescedReloads(file_on_disk_, new_reloads);
     EXPECT_EQ(now.accepted, active_config_.accepted())
@@ -173,7 +180,7 @@
     EXPECT_EQ(now.rejected, active_config_.rejected())
         << "config_reload_errors, file: " << file_on_disk_.description;
   }
-  // Once it has read what it was told of, and no more comes.
+  // Waits until the node has read its file, and 100 ms for further reloads.
   ReloadCounts AwaitReloads(const ReloadCounts& before) const {
     const auto deadline = Clock::now() + seconds(20);
     ReloadCounts now = CurrentReloadCounts();
--- a/tests/soak_record.h
+++ b/tests/soak_record.h
@@ -1,5 +1,5 @@
-// The world of a soak: endpoints whose answers come from a seed, and the record of what they and the clients
-// saw, from which the rules are judged at the end.
+// Endpoints of a soak test, whose answers depend on a seed, and the record of what they and the clients
+// observed, which the checks at the end of the test use.
 #pragma once
 
 #include <netinet/tcp.h>
@@ -21,32 +21,34 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr const char* kChangingClass = "shifting";  // its rules change
-constexpr const char* kTemporaryClass = "guest";    // it comes and goes
+constexpr const char* kChangingClass = "shifting";  // a class whose rules change
+constexpr const char* kTemporaryClass = "guest";    // a class that is added and removed
 
+// How an endpoint answered a call: kRefused is status 503, kError 500, kReset a connection reset, and kSilent
+// no response at all.
 enum class CallAnswer { kServed, kRefused, kError, kReset, kSilent };
 
-// A call as an endpoint saw it.
+// A call as its endpoint observed it. `sender` is the number of the node.
 struct ObservedCall {
   Clock::time_point arrived_at;
   int sender = 0;
   CallAnswer answer = CallAnswer::kServed;
 };
 
-// A message as its client saw it.
+// A message as its client observed it.
 struct SentMessage {
-  std::string reply;                   // empty: none came
-  bool closed_without_reply = false;   // its connection ended instead, within the time that a client waits
-  std::string close_description;       // of such an end: what the client saw
-  Clock::time_point fully_written_at;  // its last byte was written
-  bool node_killed = false;            // its process was killed meanwhile, with no SIGTERM before
+  std::string reply;                   // empty if none arrived
+  bool closed_without_reply = false;   // its connection ended within the client's timeout
+  std::string close_description;       // how the connection ended, for failure messages
+  Clock::time_point fully_written_at;  // when its last byte was written
+  bool node_killed = false;            // the process was killed meanwhile without a SIGTERM
   std::string message_class;
-  Clock::time_point created_at;        // of the message, however often it was handed in
-  Clock::time_point enqueue_began_at;  // of this handing-in
-  milliseconds time_limit{0};          // from then
+  Clock::time_point created_at;        // the same for each attempt to enqueue it
+  Clock::time_point enqueue_began_at;  // start of this attempt to enqueue it
+  milliseconds time_limit{0};          // from enqueue_began_at to the deadline
 };
 
-// Everything that clients and endpoints saw. For use from any thread.
+// Everything that clients and endpoints observed. Thread-safe.
 class SoakRecord {
  public:
   void AddMessage(const std::string& id, const SentMessage& message) {
@@ -65,6 +67,7 @@
     const std::lock_guard lock(mutex_);
     return calls_;
   }
+  // Whether any call of the message was answered with status 200.
   bool Served(const std::string& id) const {
     const std::lock_guard lock(mutex_);
     const auto it = calls_.find(id);
@@ -79,10 +82,11 @@
   std::map<std::string, std::vector<ObservedCall>> calls_;
 };
 
-// The number of the node in an id like "n12-...".
+// Returns the number of the node in a message id such as "n12-...".
 inline int NodeNumberOf(const std::string& id) { return std::stoi(id.substr(1)); }
 
-// An endpoint: serves, or does what a seed draws; down between two instants.
+// An endpoint that serves calls, except for a share of failures that a seed selects. While it is down, it
+// answers every call with an error. `record` must outlive it.
 class SoakEndpoint {
  public:
   SoakEndpoint(SoakRecord& record, std::uint64_t seed, double failure_share)
@@ -107,7 +111,7 @@
     record_.AddCall(id, {arrived_at, NodeNumberOf(id), answer});
     return answer == CallAnswer::kSilent ? Hang(socket) : keep_open;
   }
-  // By the system: this thread may have been held up since.
+  // The arrival time according to the kernel, since this thread may have been stalled after it.
   static Clock::time_point ArrivedAt(const Socket& socket) {
     tcp_info connection_info{};
     socklen_t size = sizeof connection_info;
--- a/tests/soak_rules.h
+++ b/tests/soak_rules.h
@@ -1,5 +1,5 @@
-// Settings that change in flight, and what each message may be judged by: its class's rules as they were when
-// its client wrote it.
+// Settings that change while messages are in flight, and the rules that each message is checked against:
+// those of its class when its client created it.
 #pragma once
 
 #include <algorithm>
@@ -14,14 +14,16 @@
 
 namespace indigosaddle::testing {
 
+// The rules of one class.
 struct SoakRules {
   std::string effect;
   milliseconds key_lifetime{0};
 };
 
-// What a node's classes said over time. Clients learn of a change some time behind it.
+// The class rules of one node over time. Clients learn of a change with a delay.
 class RuleTimeline {
  public:
+  // Records the classes that became active at `changed_at`.
   void Add(Clock::time_point changed_at, const nlohmann::json& classes) {
     std::map<std::string, SoakRules> rules;
     for (const auto& class_settings : classes)
@@ -30,7 +32,7 @@
     entries_.push_back(
         {entries_.empty() ? Clock::time_point::min() : changed_at + kClientUpdateDelay, std::move(rules)});
   }
-  // Nothing: its clients know no such class then.
+  // The rules that apply to a message created at that time; nothing if clients didn't know the class then.
   std::optional<SoakRules> At(const std::string& message_class, Clock::time_point created_at) const {
     const auto next = std::find_if(entries_.begin(), entries_.end(),
                                    [&](const Entry& entry) { return entry.from > created_at; });
@@ -49,12 +51,12 @@
   std::vector<Entry> entries_;
 };
 
-// Changes that a seed draws, on the configuration of one node.
+// Changes the settings of one node in ways that a seed selects.
 class SettingsChanger {
  public:
   explicit SettingsChanger(std::uint64_t seed) : random_(seed) {}
 
-  // What the file is to say next. May be what it said before: an undo.
+  // Changes `config` into the next configuration, which may be the previous one again (an undo).
   void Change(nlohmann::json& config) {
     const nlohmann::json before = config["settings"];
     auto& classes = config["settings"]["classes"];
--- a/tests/soak_seeds.h
+++ b/tests/soak_seeds.h
@@ -1,4 +1,4 @@
-// The seeds of a soak: the few of the checks, or those that INDIGOSADDLE_SOAK=FIRST:COUNT names.
+// The seeds of a soak test: the default ones, or those that INDIGOSADDLE_SOAK=FIRST:COUNT names.
 #pragma once
 
 #include <cstdint>
@@ -8,6 +8,7 @@
 
 namespace indigosaddle::testing {
 
+// Returns seeds 1 to 5 unless the environment variable is set; without a colon, COUNT stays 5.
 inline std::vector<std::uint64_t> SoakSeeds() {
   std::uint64_t first = 1, count = 5;
   if (const char* seed_range = std::getenv("INDIGOSADDLE_SOAK")) {
--- a/tests/stop_soak_node.h
+++ b/tests/stop_soak_node.h
@@ -1,5 +1,5 @@
-// One node of a soak of planned stops: all its processes, the signals that the platform sends, and hold-ups
-// of up to 0.15 s anywhere in their lives, alone or in a row.
+// One node of a soak test of planned stops, with all its processes, the signals that the platform sends, and
+// stalls of up to 0.15 s at any point of their lives, alone or in series.
 #pragma once
 
 #include <algorithm>
@@ -17,9 +17,10 @@
 
 namespace indigosaddle::testing {
 
-// The platform's planned restart: SIGKILL so long behind SIGTERM, the next start so long behind that.
+// Delays of the platform's planned restart: from SIGTERM to SIGKILL, and from there to the next start.
 constexpr milliseconds kPlannedStopKillDelay(3700), kPlannedStopStartDelay(600);
 
+// Owns all processes of the node and the thread that stalls them. `platform` must outlive it.
 class StopSoakNode {
  public:
   StopSoakNode(PlatformStandIn& platform, int number, int sender_count, std::uint64_t seed)
@@ -30,7 +31,7 @@
         stall_random_(seed + 1) {}
   ~StopSoakNode() { EndStalls(); }
 
-  // The first process, on a port that its successors and later ones have too.
+  // Starts the first process and the stalls. All later processes use the same port.
   void Start() {
     processes_.push_back(std::make_unique<NodeProcess>(platform_.address()));
     NodeProcess& first = *processes_.back();
@@ -41,12 +42,14 @@
     SetCurrent(first);
     stall_thread_ = std::thread([this] { InjectStalls(); });
   }
+  // Ends the stalls and joins their thread.
   void EndStalls() {
     stalls_ended_ = true;
     if (stall_thread_.joinable()) stall_thread_.join();
   }
 
-  // One of the ways in which a platform stops a process, with what may come in series.
+  // Stops the process in one of the platform's ways, some of which send several signals, and starts a new
+  // one.
   void PlannedStop() {
     const int kind = Draw(5);
     if (kind == 0) return Upgrade();
@@ -64,7 +67,7 @@
     std::this_thread::sleep_for(kPlannedStopStartDelay);
     Restart();
   }
-  // SIGKILL with no word before: all that its clients asked meanwhile may meet it.
+  // SIGKILL without a SIGTERM. Any request that clients send meanwhile may be affected.
   void Crash() {
     ++view.kill_counter;
     view.port = 0;
@@ -82,14 +85,15 @@
     for (const auto& process : processes_) text += process->logs();
     return text;
   }
-  // The steps of its stops, for a failure's trace.
+  // Log lines about the phases of its stops, for failure messages.
   std::string Phases() const { return LogLines({" phase ", " serving "}); }
-  // What it did against its own tables.
+  // Log lines about actions that the node's own state tables don't allow; empty if there are none.
   std::string InvariantViolations() const { return LogLines({".break "}); }
   bool Ended() {
     const std::lock_guard lock(mutex_);
     return current_->Ended();
   }
+  // How many processes were still running at the earliest SIGKILL.
   int overdue_stops() const { return overdue_stops_; }
 
   SoakClient::NodeView view;
@@ -107,12 +111,13 @@
     return matching;
   }
 
-  // Milliseconds, at most.
+  // Upper bounds of the random pauses and stalls.
   static constexpr int kMaxPauseMillis = 900, kMaxPauseInStopMillis = 120, kMaxPauseInSeriesMillis = 20,
                        kMaxStallMillis = 150;
   static constexpr int kMaxStallsInSeries = 4;
 
-  // A process that replaces this one while it serves; SIGTERM to the old one behind the new one's yes.
+  // Starts a successor while this process still serves, and sends SIGTERM to the old process once the new one
+  // is ready.
   void Upgrade() {
     NodeProcess& old = *Current();
     processes_.push_back(std::make_unique<NodeProcess>(platform_.address()));
@@ -144,7 +149,7 @@
     const std::lock_guard lock(mutex_);
     current_->Signal(number);
   }
-  // Until its end or the earliest kill.
+  // Waits until the process ends, and kills it at `kill_at` if it is still running.
   void AwaitEnd(NodeProcess& process, Clock::time_point kill_at) {
     const auto ended = [&] {
       const std::lock_guard lock(mutex_);
@@ -155,7 +160,7 @@
     if (!process.Ended()) ++overdue_stops_;
     process.Signal(SIGKILL);
     const int status = process.Wait();
-    EXPECT_TRUE(status == 0 || status == -SIGKILL) << "it ended with " << status;
+    EXPECT_TRUE(status == 0 || status == -SIGKILL) << "the process ended with status " << status;
   }
 
   void InjectStalls() {
@@ -181,7 +186,7 @@
     std::this_thread::sleep_for(
         milliseconds(DrawForStall(1) == 0 ? kMaxStallMillis : DrawForStall(kMaxStallMillis)));
     const std::lock_guard lock(mutex_);
-    stalled->Signal(SIGCONT);  // nobody, where it was killed meanwhile
+    stalled->Signal(SIGCONT);  // has no effect if it was killed meanwhile
   }
 
   int Draw(int most) { return std::uniform_int_distribution<int>(0, most)(random_); }
@@ -190,8 +195,9 @@
   PlatformStandIn& platform_;
   const int number_, sender_count_;
   std::mt19937_64 random_, stall_random_;
-  std::vector<std::unique_ptr<NodeProcess>> processes_;  // all: the first one's folder is everyone's
-  std::mutex mutex_;  // over each signal and each look at an end: no signal goes to a process that is reaped
+  std::vector<std::unique_ptr<NodeProcess>> processes_;  // all processes; they share the first one's folder
+  std::mutex
+      mutex_;  // held for each signal and each check for an end, so that no reaped process is signalled
   NodeProcess* current_ = nullptr;
   std::atomic<bool> stopping_{false}, stalls_ended_{false};
   int overdue_stops_ = 0;
