--- a/tests/node_soak_test.cpp
+++ b/tests/node_soak_test.cpp
@@ -72,8 +72,10 @@
   }
 
   void ChangeSettingsOf(SoakNode& node) {
-    for (int i = Draw(2); i >= 0; --i)
-      node.ReloadChangedFile(), std::this_thread::sleep_for(milliseconds(Draw(300)));
+    for (int i = Draw(2); i >= 0; --i) {
+      node.ReloadChangedFile();
+      std::this_thread::sleep_for(milliseconds(Draw(300)));
+    }
     for (int i = Draw(3); i > 0; --i) node.ReloadCorruptFile();
     if (Draw(3) == 0) node.ReplaceCorruptFileBetweenHangups();
     if (Draw(3) == 0) node.WriteChangedFile();  // read at its next start or SIGHUP
@@ -102,8 +104,10 @@
   }
 
   void InjectSystemFaults(SoakNode& node) {
-    for (int i = Draw(3); i >= 0; --i)
-      node.faults().FailOneCallBriefly(), std::this_thread::sleep_for(milliseconds(Draw(200)));
+    for (int i = Draw(3); i >= 0; --i) {
+      node.faults().FailOneCallBriefly();
+      std::this_thread::sleep_for(milliseconds(Draw(200)));
+    }
     if (Draw(1) == 0) node.CrashDuringWrite();
   }
 
--- a/tests/soak_files.h
+++ b/tests/soak_files.h
@@ -124,7 +124,11 @@
   void OnCoalescedReloads(const GeneratedFile& file, int reload_count) {
     (file.valid ? accepted_ : rejected_) += reload_count - 1;
   }
-  void SetCounts(int accepted, int rejected) { accepted_ = accepted, rejected_ = rejected; }
+  // Replaces both counts, where the node's log decides which reloads happened.
+  void SetCounts(int accepted, int rejected) {
+    accepted_ = accepted;
+    rejected_ = rejected;
+  }
 
  private:
   bool Activate(const GeneratedFile& file) {
--- a/tests/soak_node.h
+++ b/tests/soak_node.h
@@ -119,7 +119,10 @@
   // Sends several SIGHUPs; the system may merge some of them.
   void Hangups(int signals, milliseconds pause) {
     const ReloadCounts before = CurrentReloadCounts();
-    for (int i = 0; i < signals; ++i) process_.Signal(SIGHUP), std::this_thread::sleep_for(pause);
+    for (int i = 0; i < signals; ++i) {
+      process_.Signal(SIGHUP);
+      std::this_thread::sleep_for(pause);
+    }
     ExpectReloads(before, signals);
   }
   // Replaces a corrupt file by a valid one between two SIGHUPs. At the first signal the node may read either.
--- a/tests/soak_record.h
+++ b/tests/soak_record.h
@@ -107,7 +107,10 @@
     if (answer == CallAnswer::kServed) keep_open = socket.Write(Answer(200));
     if (answer == CallAnswer::kRefused) keep_open = socket.Write(Answer(503));
     if (answer == CallAnswer::kError) keep_open = socket.Write(Answer(500));
-    if (answer == CallAnswer::kReset) socket.Reset(), keep_open = false;
+    if (answer == CallAnswer::kReset) {
+      socket.Reset();
+      keep_open = false;
+    }
     record_.AddCall(id, {arrived_at, NodeNumberOf(id), answer});
     return answer == CallAnswer::kSilent ? Hang(socket) : keep_open;
   }
--- a/tests/stop_soak_node.h
+++ b/tests/stop_soak_node.h
@@ -55,7 +55,10 @@
     if (kind == 0) return Upgrade();
     Signal(SIGTERM);
     if (kind == 1) Signal(SIGTERM);
-    if (kind == 2) Signal(SIGHUP), Signal(SIGINT);
+    if (kind == 2) {
+      Signal(SIGHUP);
+      Signal(SIGINT);
+    }
     stopping_ = true;
     const auto kill_at = Clock::now() + kPlannedStopKillDelay;
     if (kind == 3) {
@@ -196,8 +199,8 @@
   const int number_, sender_count_;
   std::mt19937_64 random_, stall_random_;
   std::vector<std::unique_ptr<NodeProcess>> processes_;  // all processes; they share the first one's folder
-  std::mutex
-      mutex_;  // held for each signal and each check for an end, so that no reaped process is signalled
+  // Held for each signal and each check for an end, so that no reaped process is signalled.
+  std::mutex mutex_;
   NodeProcess* current_ = nullptr;
   std::atomic<bool> stopping_{false}, stalls_ended_{false};
   int overdue_stops_ = 0;
