--- a/tests/soak_client.h
+++ b/tests/soak_client.h
@@ -97,7 +97,7 @@
     if (written) message.reply = ReadLine();
     const bool reset = written && message.reply.empty() && WasReset();
     if (message.reply.empty() && reused && !reset &&
-        Clock::now() - fully_written_at < kReplyTimeout) {  // crossed the end
+        Clock::now() - fully_written_at < kReplyTimeout) {  // the request crossed the orderly end
       socket_.Close();
       message.enqueue_began_at = Clock::now();
       written = Connect() && socket_.Write(bytes);
@@ -105,7 +105,7 @@
     }
     message.fully_written_at = fully_written_at;
     message.close_description = std::string(reset ? "reset" : "ended") +
-                                (reused ? ", rested before" : ", a new connection") +
+                                (reused ? ", an idle connection" : ", a new connection") +
                                 (slow_ ? ", in pieces" : "");
     const bool within_timeout =
         Clock::now() - std::max(fully_written_at, message.enqueue_began_at) < kReplyTimeout;
--- a/tests/soak_files.h
+++ b/tests/soak_files.h
@@ -59,14 +59,14 @@
     std::string text = document.dump();
     const std::string key = R"("effect":)";
     text.insert(text.rfind(key), key + R"("read_like",)");
-    return {text, false, {}, "a key twice"};
+    return {text, false, {}, "a duplicated key"};
   }
   GeneratedFile InvalidValue(nlohmann::json document) {
     const std::vector<std::string> deadlines = {"/settings/classes/0/deadline", "/settings/caps/attemptsCap"};
     if (Draw(1) == 0) {
       const std::string path = deadlines[static_cast<std::size_t>(Draw(1))];
       document[Pointer(path)] = -Draw(5);
-      return {document.dump(), false, {}, path + " not over 0"};
+      return {document.dump(), false, {}, path + " not positive"};
     }
     const Pointer key = RandomKey(document);
     document[key] = document[key].is_string() ? nlohmann::json(5) : nlohmann::json("five");
@@ -79,7 +79,7 @@
     } else {
       document[key.parent_pointer()].erase(key.back());
     }
-    return {document.dump(), false, {}, key.to_string() + (set_to_null ? " null" : " gone")};
+    return {document.dump(), false, {}, key.to_string() + (set_to_null ? " null" : " removed")};
   }
 
   // Selects any key of any object in the document.
