--- a/tests/soak_node.h
+++ b/tests/soak_node.h
@@ -1,4 +1,5 @@
-// One node of a soak over all its processes: signals as the platform sends them, and files that change.
+// One node of a soak test with all its processes: signals as the platform sends them, and configuration
+// changes.
 #pragma once
 
 #include <csignal>
@@ -14,31 +15,34 @@
 
 namespace indigosaddle::testing {
 
-// The platform's planned restart: SIGKILL so long behind SIGTERM, the next start so long behind that.
-constexpr milliseconds kKillAfter(3700), kStartAfter(600);
-constexpr milliseconds kNoticeSlack(300), kAfterReady(1500);
-constexpr double kClassDeadline = 5000;
+// Delays of the platform's planned restart: from SIGTERM to SIGKILL, and from there to the next start.
+constexpr milliseconds kKillDelay(3700), kStartDelay(600);
+// How late a notice may arrive: normally, and after a node is ready again.
+constexpr milliseconds kNoticeTolerance(300), kGraceAfterReady(1500);
+constexpr double kClassDeadlineMillis = 5000;
 
+// Owns the node's processes, its configuration file and the model of what is active. `platform` must outlive
+// it.
 class SoakNode {
  public:
-  SoakNode(PlatformStandIn& platform, int number, int senders, std::uint64_t seed)
-      : process_(platform.address()), changer_(seed), breaker_(seed + 1) {
+  SoakNode(PlatformStandIn& platform, int number, int sender_count, std::uint64_t seed)
+      : process_(platform.address()), settings_changer_(seed), file_corrupter_(seed + 1) {
     process_.config["name"] = "n" + std::to_string(number);
-    process_.config["settings"]["balancers"] = senders;
+    process_.config["settings"]["balancers"] = sender_count;
     auto& classes = process_.config["settings"]["classes"];
     classes.push_back(classes[0]);
-    classes.back()["name"] = kShiftingClass;
+    classes.back()["name"] = kChangingClass;
     classes.back()["effect"] = "non_idempotent";
-    for (auto& one : classes) one["deadline"] = kClassDeadline;
-    on_disk_ = Good();
+    for (auto& class_settings : classes) class_settings["deadline"] = kClassDeadlineMillis;
+    file_on_disk_ = ValidFile();
   }
   void Start() {
-    // Where the folder took no writes for a while, what was in force may be kept nowhere.
-    if (faults_ && !on_disk_.good) on_disk_ = Good();
-    process_.raw_config = on_disk_.text;
-    if (in_force_.OnStart(on_disk_)) timeline_.Set(Clock::now(), in_force_.classes());
+    // If writes to the folder failed for a while, the active configuration may not have been stored.
+    if (faults_ && !file_on_disk_.valid) file_on_disk_ = ValidFile();
+    process_.raw_config = file_on_disk_.text;
+    if (active_config_.OnStart(file_on_disk_)) timeline_.Add(Clock::now(), active_config_.classes());
     if (!process_.Start()) {
-      ADD_FAILURE() << "it does not start";
+      ADD_FAILURE() << "the node does not start";
       return;
     }
     view.port = process_.port;
@@ -47,97 +51,102 @@
   void Kill() {
     if (restarts_.empty() || restarts_.back().to != Clock::time_point())
       restarts_.push_back({Clock::now(), {}});
-    ++view.kills;
+    ++view.kill_counter;
     view.port = 0;
     process_.Kill(SIGKILL);
-    ++view.kills;  // what was asked meanwhile met the kill as well
+    ++view.kill_counter;  // requests sent meanwhile are affected by the kill too
   }
-  // From now on calls to the system may fail under its processes.
+  // Lets system calls fail in the processes that are started from now on.
   void UseFaults(std::uint64_t seed) {
     faults_.emplace(seed, process_.folder);
     process_.extra_variables = faults_->Variables();
   }
   SoakFaults& faults() { return *faults_; }
-  // Dies by itself within a write; the half of it is what the next process finds.
-  void DieWithinAWrite() {
+  // The process is killed in the middle of a write, so that its successor finds a truncated record.
+  void CrashDuringWrite() {
     restarts_.push_back({Clock::now(), {}});
-    ++view.kills;
-    faults_->KillWithinAWrite();
+    ++view.kill_counter;
+    faults_->KillDuringNextWrite();
     EXPECT_EQ(process_.Wait(), -SIGKILL);
     view.port = 0;
-    ++view.kills;
-    faults_->Over();
-    std::this_thread::sleep_for(kStartAfter);
+    ++view.kill_counter;
+    faults_->CancelKill();
+    std::this_thread::sleep_for(kStartDelay);
     Start();
   }
-  // SIGTERM; clients go on with what is open; the kill comes at the earliest that the platform allows.
-  void Replace(bool twice) {
+  // Planned restart: SIGTERM, then SIGKILL at the earliest time that the platform allows, then a new process.
+  // Clients keep using open connections meanwhile.
+  void Restart(bool signal_twice) {
     restarts_.push_back({Clock::now(), {}});
     process_.Signal(SIGTERM);
-    if (twice) process_.Signal(SIGTERM);
-    const auto kill_at = Clock::now() + kKillAfter;
+    if (signal_twice) process_.Signal(SIGTERM);
+    const auto kill_at = Clock::now() + kKillDelay;
     while (Clock::now() < kill_at && !process_.Ended()) std::this_thread::sleep_for(milliseconds(2));
-    EXPECT_TRUE(process_.Ended()) << "alive at the earliest kill";
+    EXPECT_TRUE(process_.Ended()) << "still running at the earliest SIGKILL";
     if (process_.Ended()) {
-      EXPECT_EQ(process_.Wait(), 0) << "it ended badly";
+      EXPECT_EQ(process_.Wait(), 0) << "the process ended with an error";
     }
     view.port = 0;
     process_.Kill(SIGKILL);
-    std::this_thread::sleep_for(kStartAfter);
+    std::this_thread::sleep_for(kStartDelay);
     Start();
   }
   void Signal(int number) { process_.Signal(number); }
 
-  // A new file and SIGHUP; back once the node has read it.
-  void ChangeSettings() {
-    changer_.Change(process_.config);
-    Write(Good());
+  // Writes a new valid file and sends SIGHUP. Returns once the node has read the file.
+  void ReloadChangedFile() {
+    settings_changer_.Change(process_.config);
+    Write(ValidFile());
     Hangup();
   }
-  // A file that can't be used: the node goes on as it was, also over a restart.
-  void BreakFile() {
-    Write(breaker_.Break(process_.config));
+  // Writes an unusable file and sends SIGHUP. The node must keep its configuration, also over a restart.
+  void ReloadCorruptFile() {
+    Write(file_corrupter_.Corrupt(process_.config));
     Hangup();
   }
-  // A new file without a signal, for the next start or SIGHUP.
-  void ChangeFileOnly() {
-    changer_.Change(process_.config);
-    Write(Good());
+  // Writes a new file without a signal; the node reads it at its next start or SIGHUP.
+  void WriteChangedFile() {
+    settings_changer_.Change(process_.config);
+    Write(ValidFile());
   }
-  void BreakFileOnly() { Write(breaker_.Break(process_.config)); }
-  // SIGHUP; back once the node has read its file.
+  void WriteCorruptFile() { Write(file_corrupter_.Corrupt(process_.config)); }
+  // Sends SIGHUP. Returns once the node has read its file.
   void Hangup() {
-    const Reading before = LastReading();
+    const ReloadCounts before = CurrentReloadCounts();
     process_.Signal(SIGHUP);
-    Expect(before, 1);
-  }
-  // Several in a row; the system may tell some of them as one.
-  void Hangups(int count, milliseconds pause) {
-    const Reading before = LastReading();
-    for (int i = 0; i < count; ++i) process_.Signal(SIGHUP), std::this_thread::sleep_for(pause);
-    Expect(before, count);
-  }
-  // A broken file that a good one replaces between two signals in a row: either may be read at the first.
-  void ReplaceBetweenHangups() {
-    const Reading before = LastReading();
-    process_.WriteConfig(breaker_.Break(process_.config).text);
+    ExpectReloads(before, 1);
+  }
+  // Sends several SIGHUPs; the system may merge some of them.
+  void Hangups(int signals, milliseconds pause) {
+    const ReloadCounts before = CurrentReloadCounts();
+    for (int i = 0; i < signals; ++i) {
+      process_.Signal(SIGHUP);
+      std::this_thread::sleep_for(pause);
+    }
+    ExpectReloads(before, signals);
+  }
+  // Replaces a corrupt file by a valid one between two SIGHUPs. At the first signal the node may read either.
+  void ReplaceCorruptFileBetweenHangups() {
+    const ReloadCounts before = CurrentReloadCounts();
+    process_.WriteConfig(file_corrupter_.Corrupt(process_.config).text);
     process_.Signal(SIGHUP);
-    changer_.Change(process_.config);
-    Write(Good());
+    settings_changer_.Change(process_.config);
+    Write(ValidFile());
     process_.Signal(SIGHUP);
-    const Reading now = Settled(before);
-    EXPECT_GE(now.taken, before.taken + 1) << "the good file was not taken";
-    EXPECT_LE(now.count, before.count + 2);
-    if (in_force_.OnSignal(on_disk_)) timeline_.Set(Clock::now(), in_force_.classes());
-    in_force_.Recount(now.taken, now.refused);
+    const ReloadCounts now = AwaitReloads(before);
+    EXPECT_GE(now.accepted, before.accepted + 1) << "the valid file was not accepted";
+    EXPECT_LE(now.reloads, before.reloads + 2);
+    if (active_config_.OnReload(file_on_disk_)) timeline_.Add(Clock::now(), active_config_.classes());
+    active_config_.SetCounts(now.accepted, now.rejected);
   }
 
   bool Ended() { return process_.Ended(); }
-  // No notice is overdue from the signal of a restart until some time after it is ready again.
-  bool Excused(Clock::time_point due) const {
-    return std::any_of(restarts_.begin(), restarts_.end(), [&](const Span& span) {
-      return due + kNoticeSlack >= span.from &&
-             (span.to == Clock::time_point() || due < span.to + kAfterReady);
+  // Whether a notice due at `deadline` may be late: from the signal of a restart until kGraceAfterReady after
+  // the node is ready again.
+  bool InRestartGracePeriod(Clock::time_point deadline) const {
+    return std::any_of(restarts_.begin(), restarts_.end(), [&](const RestartPeriod& period) {
+      return deadline + kNoticeTolerance >= period.from &&
+             (period.to == Clock::time_point() || deadline < period.to + kGraceAfterReady);
     });
   }
   const RuleTimeline& timeline() const { return timeline_; }
@@ -145,63 +154,67 @@
   SoakClient::NodeView view;
 
  private:
-  struct Span {
+  struct RestartPeriod {
     Clock::time_point from, to;
   };
 
-  // What the node's log says of its files: each SIGHUP is one line, whatever it brings.
-  struct Reading {
-    int count = 0, taken = 0, refused = 0;
+  // The node's reloads according to its log, which has one line for each, accepted or rejected.
+  struct ReloadCounts {
+    int reloads = 0, accepted = 0, rejected = 0;
   };
 
-  DrawnFile Good() const { return {process_.config.dump(), true, process_.config, "good"}; }
-  void Write(DrawnFile file) {
-    on_disk_ = std::move(file);
-    process_.WriteConfig(on_disk_.text);
+  GeneratedFile ValidFile() const { return {process_.config.dump(), true, process_.config, "good"}; }
+  void Write(GeneratedFile file) {
+    file_on_disk_ = std::move(file);
+    process_.WriteConfig(file_on_disk_.text);
   }
 
-  // The file was read once at least, `most` times at most, and judged as the page has it each time.
-  void Expect(const Reading& before, int most) {
-    if (in_force_.OnSignal(on_disk_)) timeline_.Set(Clock::now(), in_force_.classes());
-    const Reading now = Settled(before);
-    const int seen = now.count - before.count;
-    EXPECT_GE(seen, 1) << "it did not read its file";
-    EXPECT_LE(seen, most);
-    in_force_.OnSeveral(on_disk_, seen);
-    EXPECT_EQ(now.taken, in_force_.taken()) << "config_reloads, file: " << on_disk_.about;
-    EXPECT_EQ(now.refused, in_force_.refused()) << "config_reload_errors, file: " << on_disk_.about;
-  }
-  // Once it has read what it was told of, and no more comes.
-  Reading Settled(const Reading& before) const {
-    const auto end = Clock::now() + seconds(20);
-    Reading now = LastReading();
-    while (now.count == before.count && Clock::now() < end) {
+  // Checks that the file was read between once and `max_reloads` times, and each time accepted or rejected as
+  // specified.
+  void ExpectReloads(const ReloadCounts& before, int max_reloads) {
+    if (active_config_.OnReload(file_on_disk_)) timeline_.Add(Clock::now(), active_config_.classes());
+    const ReloadCounts now = AwaitReloads(before);
+    const int new_reloads = now.reloads - before.reloads;
+    EXPECT_GE(new_reloads, 1) << "the node did not read its file";
+    EXPECT_LE(new_reloads, max_reloads);
+    active_config_.OnCoalescedReloads(file_on_disk_, new_reloads);
+    EXPECT_EQ(now.accepted, active_config_.accepted())
+        << "config_reloads, file: " << file_on_disk_.description;
+    EXPECT_EQ(now.rejected, active_config_.rejected())
+        << "config_reload_errors, file: " << file_on_disk_.description;
+  }
+  // Waits until the node has read its file, and 100 ms for further reloads.
+  ReloadCounts AwaitReloads(const ReloadCounts& before) const {
+    const auto deadline = Clock::now() + seconds(20);
+    ReloadCounts now = CurrentReloadCounts();
+    while (now.reloads == before.reloads && Clock::now() < deadline) {
       std::this_thread::sleep_for(milliseconds(5));
-      now = LastReading();
+      now = CurrentReloadCounts();
     }
     std::this_thread::sleep_for(milliseconds(100));
-    return LastReading();
+    return CurrentReloadCounts();
   }
-  Reading LastReading() const {
+  ReloadCounts CurrentReloadCounts() const {
     const std::string log = process_.log();
-    const std::string mark = " config.read taken=";
-    Reading reading;
-    for (std::size_t at = log.find(mark); at != std::string::npos; at = log.find(mark, at + 1)) {
-      if (std::sscanf(log.c_str() + at, " config.read taken=%d refused=%d", &reading.taken,
-                      &reading.refused) == 2)
-        ++reading.count;
+    const std::string log_marker = " config.read taken=";
+    ReloadCounts counts;
+    for (std::size_t position = log.find(log_marker); position != std::string::npos;
+         position = log.find(log_marker, position + 1)) {
+      if (std::sscanf(log.c_str() + position, " config.read taken=%d refused=%d", &counts.accepted,
+                      &counts.rejected) == 2)
+        ++counts.reloads;
     }
-    return reading;
+    return counts;
   }
 
   NodeProcess process_;
-  SettingsChanger changer_;
-  FileBreaker breaker_;
-  FilesInForce in_force_;
-  DrawnFile on_disk_;
+  SettingsChanger settings_changer_;
+  FileCorrupter file_corrupter_;
+  ActiveConfigModel active_config_;
+  GeneratedFile file_on_disk_;
   RuleTimeline timeline_;
   std::optional<SoakFaults> faults_;
-  std::vector<Span> restarts_;
+  std::vector<RestartPeriod> restarts_;
 };
 
 }  // namespace indigosaddle::testing
