--- a/tests/config/layers_test.cpp
+++ b/tests/config/layers_test.cpp
@@ -51,7 +51,7 @@
   EXPECT_EQ(default_config.settings.weights, Weights::kNone);
   EXPECT_TRUE(default_config.settings.retry_advice);
   EXPECT_EQ(default_config.settings.price_handshake, 0);
-  EXPECT_FALSE(default_config.watched.on);
+  EXPECT_FALSE(default_config.shadow.on);
   const auto edited = [](const std::string& delivery_lines, const std::string& sections) {
     std::string text = kOperatorsToml + sections;
     return text.insert(text.find("[delivery]\n") + 11, delivery_lines);
@@ -64,11 +64,11 @@
                         {}});
   EXPECT_EQ(file_config.settings.weights, Weights::kRough);
   EXPECT_EQ(file_config.settings.price_handshake, 0.02);
-  EXPECT_TRUE(file_config.watched.on);
-  EXPECT_EQ(file_config.watched.weights, Weights::kNone);
-  EXPECT_EQ(file_config.watched.fall, std::chrono::milliseconds(1500));
-  EXPECT_EQ(file_config.watched.Over(file_config.settings).senders, 9);
-  EXPECT_EQ(file_config.watched.Over(file_config.settings).price_handshake,
+  EXPECT_TRUE(file_config.shadow.on);
+  EXPECT_EQ(file_config.shadow.weights, Weights::kNone);
+  EXPECT_EQ(file_config.shadow.fall, std::chrono::milliseconds(1500));
+  EXPECT_EQ(file_config.shadow.AppliedTo(file_config.settings).senders, 9);
+  EXPECT_EQ(file_config.shadow.AppliedTo(file_config.settings).price_handshake,
             0.02);  // left out: the value in force
   const std::string platform =
       R"({"settings":{"weightKind":"nominal","caps":{"retryAfter":false},"prices":{"handshake":0.06}},
@@ -78,11 +78,11 @@
   EXPECT_EQ(platform_config.settings.weights, Weights::kNominal);
   EXPECT_FALSE(platform_config.settings.retry_advice);
   EXPECT_EQ(platform_config.settings.price_handshake, 0.06);
-  EXPECT_EQ(platform_config.watched.weights, Weights::kNone);
-  EXPECT_EQ(platform_config.watched.max_attempts, 6);
+  EXPECT_EQ(platform_config.shadow.weights, Weights::kNone);
+  EXPECT_EQ(platform_config.shadow.max_attempts, 6);
   // The weights may change while the node runs, in both directions.
-  EXPECT_EQ(node::Changed(default_config, platform_config).settings.weights, Weights::kNominal);
-  EXPECT_EQ(node::Changed(platform_config, default_config).settings.weights, Weights::kNone);
+  EXPECT_EQ(node::WithRuntimeChanges(default_config, platform_config).settings.weights, Weights::kNominal);
+  EXPECT_EQ(node::WithRuntimeChanges(platform_config, default_config).settings.weights, Weights::kNone);
 }
 
 TEST(WeightsPriceAndWatch, FaultsAreNamedInBothForms) {
@@ -153,12 +153,12 @@
     return "[[classes]]\nname = \"" + name + "\"\naim = \"" + aim + "\"\ndeadline = \"1h\"\n";
   };
   const node::Config initial = make(table("a", "1s") + table("b", "2s"));
-  const node::Config changed = node::Changed(initial, make(table("c", "3s") + table("b", "4s")));
+  const node::Config changed = node::WithRuntimeChanges(initial, make(table("c", "3s") + table("b", "4s")));
   EXPECT_EQ(changed.classes, (std::map<std::string, int>{{"b", 1}, {"c", 2}}));
   // Messages that are still held of the removed class need its settings.
   EXPECT_EQ(changed.settings.classes.at(0).aim, std::chrono::seconds(1));
   EXPECT_EQ(changed.settings.classes.at(1).aim, std::chrono::seconds(4));
-  const node::Config restored = node::Changed(changed, make(table("a", "5s")));
+  const node::Config restored = node::WithRuntimeChanges(changed, make(table("a", "5s")));
   // A name that comes back is a new class: messages with its old number may still be held.
   EXPECT_EQ(restored.classes.at("a"), 3);
 }
--- a/tests/node_copies_soak_test.cpp
+++ b/tests/node_copies_soak_test.cpp
@@ -143,11 +143,13 @@
       const auto it = calls.find(id);
       const std::vector<RecordedCall> message_calls =
           it == calls.end() ? std::vector<RecordedCall>{} : it->second;
-      EXPECT_FALSE(Overlap(message_calls)) << id << " had two calls in flight at once" << LogLines(id);
+      EXPECT_FALSE(AnyRanConcurrently(message_calls))
+          << id << " had two calls in flight at once" << LogLines(id);
       if (message.message_class == "unsafe") ExpectAtMostOneExecution(id, message_calls);
       if (message.reply != "+OK") continue;
       ++accepted;
-      EXPECT_TRUE(Served(message_calls) || notices.contains(id)) << id << " has no outcome" << LogLines(id);
+      EXPECT_TRUE(AnyDelivered(message_calls) || notices.contains(id))
+          << id << " has no outcome" << LogLines(id);
     }
     EXPECT_GT(accepted, 50);
     std::cout << "[   soak   ] seed " << GetParam() << ": " << client_record_.messages().size()
