--- a/src/node/node_metrics.cpp
+++ b/src/node/node_metrics.cpp
@@ -63,9 +63,10 @@
 
 nlohmann::json Node::Status() const {
   nlohmann::json classes = nlohmann::json::object();
-  for (const auto& [name, counts] : CountsByClass())
+  for (const auto& [name, counts] : CountsByClass()) {
     classes[name] = {
         {"completed", counts.completed}, {"rejected", counts.rejected}, {"failed", counts.failed}};
+  }
   return {
       {"ok", true},
       {"name", config_.name},
