--- a/tests/node_parts_test.cpp
+++ b/tests/node_parts_test.cpp
@@ -77,7 +77,7 @@
 
 // A class keeps its number, and its new effect applies to messages accepted from now on; pending messages
 // keep the rules with which they were accepted
-// (SettingsChange.AMessageKeepsItsRulesWhateverItsClassSaysByThen).
+// (RepeatRulesKept.MessageKeepsItsRulesWhenItsClassChanges).
 TEST(Config, ClassWhoseEffectChangesKeepsItsNumber) {
   const Config running = ReadConfig(kConfig, kEnvironment);
   const Config next =
--- a/tests/test_node.h
+++ b/tests/test_node.h
@@ -31,7 +31,7 @@
 struct Reply {
   Result result = Result::kOk;
   Micros latency{milliseconds(100)};  // from the send to the outcome
-  Micros wait{0};                     // Retry-After with kFull; zero: none
+  Micros wait{0};                     // Retry-After with kRefused; zero: none
   double limit = -1;                  // reported calls a second; negative: not reported
   double left = -1;                   // reported share of the limit left; negative: not reported
 };
@@ -190,7 +190,7 @@
 
   Brain& brain() { return *brain_; }
 
-  // What Refuse and Fail return. False: the test reports each answer's arrival with OnAnswerTold.
+  // What Refuse and Fail return. False: the test reports each answer's arrival with OnAnswerDelivered.
   bool answers_at_once = true;
   std::vector<SendRecord> sends;                           // in the order sent
   std::vector<Micros> timers;                              // times asked for with SetTimer
