--- a/tests/node_drains_test.cpp
+++ b/tests/node_drains_test.cpp
@@ -147,6 +147,7 @@
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ASSERT_TRUE(node.Start());
   ASSERT_TRUE(EnqueueOnceListed("before", "c=safe,d=60000,dest=7"));
+  ASSERT_TRUE(Eventually([&] { return CallCount() == 1; }));  // the node has the list
   platform.SetListStatus(503);
   platform.EndWatches();
   std::this_thread::sleep_for(milliseconds(600));
