--- a/benchmarks/front_door.py
+++ b/benchmarks/front_door.py
@@ -1,24 +1,27 @@
 #!/usr/bin/env python3
-"""Measures the front door at the built node, with the toy world on loopback: start, memory, apply, undo, an unread log.
+"""Measures the built node as its operators meet it ("front door"), with examples/toy_world.py on loopback: time
+to start, memory, time to apply a configuration change and to roll back a bad one, and latency while nobody reads
+the log.
 
     benchmarks/front_door.py build/indigosaddle [--before OLD_PROGRAM]
 
-OLD_PROGRAM is started on examples/config.json, as programs before this file were. Bounded: about a minute."""
+OLD_PROGRAM, an older build to compare with, is started with examples/config.json, as builds older than this
+benchmark were. Takes about a minute."""
 import json, os, re, socket, subprocess, sys, tempfile, threading, time
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 
 
-def world():
+def start_platform():
     process = subprocess.Popen([sys.executable, ROOT + "/examples/toy_world.py", "0"], stdout=subprocess.PIPE, text=True)
     for line in process.stdout:
         if line.startswith("discovery "):
             threading.Thread(target=lambda: [None for _ in process.stdout], daemon=True).start()
             return process, line.split()[1]
-    sys.exit("the toy world did not start")
+    sys.exit("examples/toy_world.py did not start")
 
 
-def port():
+def free_port():
     with socket.socket() as s:
         s.bind(("127.0.0.1", 0))
         return s.getsockname()[1]
@@ -28,10 +31,10 @@
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(p), p) for p in (x.encode() for x in parts))
 
 
-def ready(at, began):
+def wait_until_ready(port, began):
     while time.time() - began < 10:
         try:
-            with socket.create_connection(("127.0.0.1", at)) as s:
+            with socket.create_connection(("127.0.0.1", port)) as s:
                 s.sendall(command("PING"))
                 if s.recv(64) == b"+PONG\r\n":
                     return (time.time() - began) * 1e3
@@ -56,9 +59,9 @@
         return json.loads(self.file.readline())
 
 
-def clients(at, seconds, rate, busy, latencies):
-    """Open loop: one message at each instant of a fixed schedule, latency from that instant to its answer."""
-    s = socket.create_connection(("127.0.0.1", at))
+def send_messages(port, seconds, rate, busy, latencies):
+    """Open loop: sends messages on a fixed schedule; a latency runs from the scheduled instant to the answer."""
+    s = socket.create_connection(("127.0.0.1", port))
     count, began, sent, buffer = int(seconds * rate), time.time(), [], b""
 
     def read():
@@ -79,8 +82,8 @@
         wait = began + i / rate - time.time()
         if wait > 0:
             time.sleep(wait)
-        ident = os.urandom(8).hex()
-        s.sendall(command("ENQUEUE", "0" * 16, ident, f"c=notice,t=acme,d=20000,k={ident},dest=7", "x"))
+        message_id = os.urandom(8).hex()
+        s.sendall(command("ENQUEUE", "0" * 16, message_id, f"c=notice,t=acme,d=20000,k={message_id},dest=7", "x"))
     reader.join(10)
     s.close()
 
@@ -98,7 +101,7 @@
 def main():
     program = os.path.abspath(sys.argv[1])
     before = sys.argv[sys.argv.index("--before") + 1] if "--before" in sys.argv else None
-    toy, discovery = world()
+    platform, discovery = start_platform()
     work = tempfile.mkdtemp()
     config = open(ROOT + "/examples/config.json").read().replace("127.0.0.1:8500", discovery)
     open(work + "/config.json", "w").write(config)
@@ -112,12 +115,12 @@
                 continue
             starts, sizes = [], []
             for i in range(11):
-                state, at = tempfile.mkdtemp(), port()
-                environment = {"EDGE_STATE": state, "EDGE_LISTEN": f"127.0.0.1:{at}"}
+                state, port = tempfile.mkdtemp(), free_port()
+                environment = {"EDGE_STATE": state, "EDGE_LISTEN": f"127.0.0.1:{port}"}
                 if not arguments:
                     environment["EDGE_CONFIG"] = work + "/config.json"
                 node, began = start(path, arguments, environment, subprocess.DEVNULL)
-                starts.append(ready(at, began))
+                starts.append(wait_until_ready(port, began))
                 time.sleep(0.2)
                 sizes.append(memory(node.pid))
                 node.kill()
@@ -125,15 +128,15 @@
             size = {k: percentile([s[k] for s in sizes], 0.5) for k in sizes[0]}
             print(f"{name}: start to PONG {percentile(starts, 0.5):.1f} ms (median of 11); {size} kB")
 
-        state, at = tempfile.mkdtemp(), port()
-        environment = {"EDGE_STATE": state, "EDGE_LISTEN": f"127.0.0.1:{at}"}
+        state, port = tempfile.mkdtemp(), free_port()
+        environment = {"EDGE_STATE": state, "EDGE_LISTEN": f"127.0.0.1:{port}"}
         arguments = ["serve", "--config", work + "/node.toml"]
         for name, log in [("log read", subprocess.DEVNULL), ("log not read for 5 s", subprocess.PIPE)]:
             node, began = start(program, arguments, environment, log)
-            ready(at, began)
+            wait_until_ready(port, began)
             time.sleep(0.5)
             latencies, busy = [], []
-            clients(at, 5, 1000, busy, latencies)
+            send_messages(port, 5, 1000, busy, latencies)
             status = Control(state + "/control.sock").ask(op="status")
             print(f"{name}: 1000 messages/s for 5 s: answers p50 {percentile(latencies, .5):.2f} ms, p99 "
                   f"{percentile(latencies, .99):.2f} ms; {len(latencies)} answers, {sum(busy)} busy; "
@@ -142,7 +145,7 @@
             node.wait()
 
         node, began = start(program, arguments, environment, subprocess.DEVNULL)
-        ready(at, began)
+        wait_until_ready(port, began)
         control = Control(state + "/control.sock")
         applies = []
         for i in range(21):
@@ -153,10 +156,10 @@
             began = time.time()
             assert control.ask(op="rollback", author="bench")["ok"]
         print(f"apply to in force {percentile(applies, .5):.2f} ms (median of 21, most {max(applies):.2f})")
-        undone = []
+        trial_results = []
         for i in range(5):
             latencies, busy = [], []
-            load = threading.Thread(target=clients, args=(at, 6, 60, busy, latencies))
+            load = threading.Thread(target=send_messages, args=(port, 6, 60, busy, latencies))
             load.start()
             time.sleep(3)
             began = time.time()
@@ -168,13 +171,13 @@
                 if last["generation"] != number or last["result"] != "on trial":
                     break
                 time.sleep(0.005)
-            undone.append((last["result"], round((time.time() - began) * 1e3)))
+            trial_results.append((last["result"], round((time.time() - began) * 1e3)))
             load.join()
-        print(f"holding room 1 at 60 messages/s: {undone} (result, ms from apply)")
+        print(f"holding room 1 at 60 messages/s: {trial_results} (result, ms from apply)")
         node.kill()
         node.wait()
     finally:
-        toy.kill()
+        platform.kill()
 
 
 main()
--- a/examples/fleet.sh
+++ b/examples/fleet.sh
@@ -1,9 +1,10 @@
 #!/bin/bash
-# Three nodes on loopback that share what they know, two at site north and one at site south. Says when they are connected
-# and agree how many they are, then runs until Ctrl-C; with --once it ends there (1: they did not agree within a minute).
+# A fleet of three nodes on loopback, two at site north and one at site south. Prints when they are connected
+# and agree on the number of senders, then runs until Ctrl-C; with --once it exits at that point. Exits with
+# status 1 if they do not agree within a minute.
 # Try in another shell, with the folder that is printed:
-#   build/indigosaddle status --config FOLDER/a.toml        # "fleet" in it
-#   kill -9 the process of c, and look again: site south is "lost" within 30 s
+#   build/indigosaddle status --config FOLDER/a.toml        # the fleet's state is under "fleet"
+#   kill -9 the process of c, and print the status again: site south is "lost" within 30 s
 set -euo pipefail
 here=$(cd "$(dirname "$0")" && pwd)
 program=${INDIGOSADDLE:-$here/../build/indigosaddle}
@@ -18,11 +19,11 @@
 trap 'exit 0' INT TERM
 for name in a b c; do
   mkdir "$folder/$name"
-  case $name in a) at=11 ;; b) at=12 ;; c) at=13 ;; esac
+  case $name in a) address=127.0.0.11 ;; b) address=127.0.0.12 ;; c) address=127.0.0.13 ;; esac
   cat > "$folder/$name.toml" << TOML
 [node]
 name = "$name"
-listen = "127.0.0.$at:6379"
+listen = "$address:6379"
 discovery = "127.0.0.1:8500"
 state = "$folder/$name"
 
@@ -30,7 +31,7 @@
 socket = "control.sock"
 
 [fleet]
-listen = "127.0.0.$at:7946"
+listen = "$address:7946"
 lease = "3s"
 probe_every = "500ms"
 probe_timeout = "150ms"
@@ -61,11 +62,11 @@
   "$program" serve --config "$folder/$name.toml" 2> "$folder/$name.log" &
   nodes+=($!)
 done
-seen() { "$program" status --config "$folder/$1.toml" --json 2> /dev/null |
+standing_and_senders() { "$program" status --config "$folder/$1.toml" --json 2> /dev/null |
   python3 -c 'import json, sys; f = json.load(sys.stdin)["fleet"]; print(f["standing"], f["senders"])' 2> /dev/null; }
 for _ in $(seq 240); do
   agreed=0
-  for name in a b c; do [ "$(seen $name)" = "connected 3" ] && agreed=$((agreed + 1)); done
+  for name in a b c; do [ "$(standing_and_senders $name)" = "connected 3" ] && agreed=$((agreed + 1)); done
   [ $agreed -eq 3 ] && break
   sleep 0.25
 done
--- a/examples/send.py
+++ b/examples/send.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Hands one message in at a delivery node and prints its answer: send.py BODY [ADDRESS]."""
+"""Sends one message to a delivery node and prints its id and the node's answer: send.py BODY [ADDRESS]."""
 
 import secrets
 import socket
--- a/examples/start.sh
+++ b/examples/start.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# Starts the toy world and a delivery node in front of it, until interrupted. EDGE_LISTEN and TOY_PORT move them
-# from the ports in indigosaddle.toml; 0 takes one that the kernel gives.
+# Runs a delivery node, and stand-ins for the systems around it (toy_world.py), until interrupted. EDGE_LISTEN
+# replaces the node's address in indigosaddle.toml, TOY_PORT the port of discovery; port 0 lets the kernel
+# choose.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 program=${INDIGOSADDLE:-build/indigosaddle}
--- a/examples/toy_world.py
+++ b/examples/toy_world.py
@@ -1,7 +1,8 @@
 #!/usr/bin/env python3
-"""A toy world for one delivery node: an endpoint, discovery, and the platform's notices, on loopback.
+"""Stand-ins on loopback for the systems around one delivery node: an endpoint, and a platform that serves
+discovery and receives notices.
 
-Prints every message that is delivered and every notice. Names the address of discovery in its first line."""
+Prints every message that is delivered and every notice. The first line gives the address of discovery."""
 
 import json
 import sys
@@ -10,7 +11,7 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
 
-class Quiet(BaseHTTPRequestHandler):
+class QuietHandler(BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
 
     def log_message(self, *args):
@@ -27,25 +28,25 @@
         self.wfile.write(body)
 
 
-class Endpoint(Quiet):
+class Endpoint(QuietHandler):
     def do_POST(self):
         body = self.body().decode("utf-8", "replace")
         print(f"delivered {self.headers['X-Trace-Id']}: {body}", flush=True)
         self.answer(200)
 
 
-class Platform(Quiet):
+class Platform(QuietHandler):
     members = []
 
     def do_GET(self):
         if "watch=1" not in self.path:
-            return self.answer(200, self.news(True, self.members))
+            return self.answer(200, self.list_line(True, self.members))
         self.send_response(200)
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
-        line = self.news(False, [])
+        line = self.list_line(False, [])
         try:
-            while True:  # nothing ever changes here: an empty line now and then says that the watch lives
+            while True:  # nothing ever changes here: an empty line every 2 s shows that the watch is alive
                 self.wfile.write(b"%x\r\n%s\r\n" % (len(line), line))
                 self.wfile.flush()
                 time.sleep(2)
@@ -59,7 +60,7 @@
         self.answer(204)
 
     @staticmethod
-    def news(whole, members):
+    def list_line(whole, members):
         return json.dumps({"seq": 1, "whole": whole, "hosts": members}).encode() + b"\n"
 
 
--- a/examples/try.sh
+++ b/examples/try.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# What a newcomer does, by itself: starts the example, hands a message in, and waits until it is delivered.
+# Runs the first steps with the example: starts it, sends a message, and waits until it is delivered.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 log=$(mktemp)
@@ -12,13 +12,13 @@
     kill -0 "$example" 2> /dev/null || break
     sleep 0.1
   done
-  echo "the example never said: $1"
+  echo "the example did not print: $1"
   cat "$log"
   exit 1
 }
 wait_for ' serving '
 address=$(sed -n 's/.* serving address=\([0-9.:]*\) .*/\1/p' "$log")
 answer=$(python3 examples/send.py 'hello from the example' "$address")
-[ "${answer##* }" = "+OK" ] || { echo "not taken on: $answer"; exit 1; }
+[ "${answer##* }" = "+OK" ] || { echo "the node did not accept the message: $answer"; exit 1; }
 wait_for 'delivered .*: hello from the example'
 echo "the example delivered ${answer%% *}"
