--- a/src/state/completed_messages.h
+++ b/src/state/completed_messages.h
@@ -62,7 +62,7 @@
     const auto it = entries_.find(serial);
     return it == entries_.end() ? nullptr : &it->second;
   }
-  // Whether a message with this id of a client is known.
+  // Whether a message with this AcceptedMessage::id is known.
   bool Has(const std::string& id) const { return by_id_.contains(id); }
   const std::map<Serial, Entry>& entries() const { return entries_; }
   // Size of all records in a journal.
@@ -75,7 +75,7 @@
   std::size_t bytes_ = 0;
 };
 
-// Messages that were refused or failed in the turn in which they came, by their client's id. Their clients
+// Messages that were refused or failed in the turn in which they came, by AcceptedMessage::id. Their clients
 // were promised that nothing runs, and try again with other ids; a copy of the command arrives within about
 // the time that a client waits for an answer.
 class RecentRefusals {
--- a/src/state/effects.h
+++ b/src/state/effects.h
@@ -114,7 +114,7 @@
 struct Reply {
   ClientRef client;
   Answer answer = Answer::kFailed;
-  // With kBusy: the client may send the message again from then on.
+  // With kBusy: how long the client should wait before it sends the message again; zero: not told.
   Micros not_before{0};
   // Of the message that is answered, for logs and counters.
   std::string id;
@@ -142,7 +142,7 @@
   Serial serial = 0;
   std::string id;
   MessageEnd end = MessageEnd::kFailed;
-  // With kReturned: the message may be sent again from then on.
+  // With kReturned: how long the client should wait before it sends the message again; zero: not told.
   Micros not_before{0};
 };
 
--- a/src/state/events.h
+++ b/src/state/events.h
@@ -1,5 +1,5 @@
 // The events that the reducer handles (src/state/reducer.h). An event is a plain value: it owns all that it
-// carries.
+// carries. "The delivery policy" is the decision engine, src/brain.h.
 #pragma once
 
 #include <cstdint>
@@ -146,7 +146,8 @@
   bool connected = false;
 };
 
-// Return the message to its client; the client may send it again from `not_before` on.
+// Return the message to its client, which may send it again once `not_before` has passed: a duration, as in
+// Host::Refuse.
 struct ReturnRequested {
   Serial serial = 0;
   Micros not_before{0};
--- a/src/state/journal.h
+++ b/src/state/journal.h
@@ -66,7 +66,7 @@
 struct MessageEnded {
   Serial serial = 0;
   MessageEnd end = MessageEnd::kNoNotice;
-  // With kReturned: the message may be sent again from then on.
+  // With kReturned: how long the client should wait before it sends the message again; zero: not told.
   Micros not_before{0};
 };
 
--- a/src/state/journal_format.h
+++ b/src/state/journal_format.h
@@ -11,8 +11,8 @@
 namespace indigosaddle::state {
 
 constexpr std::string_view kMagic = "indigosaddle journal ";
-// The version that is written. Version 1 has no AttemptConnecting records; version 2 has zone numbers in
-// place of zone names, and no rules in messages. Both can still be read.
+// The version that is written. Versions 1 and 2 have zone numbers in place of zone names, and no rules in
+// messages; version 1 also has no AttemptConnecting records. Both can still be read.
 constexpr std::uint64_t kVersion = 3;
 // The first version with rules in messages and with zone names.
 constexpr std::uint64_t kFirstVersionWithRules = 3;
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -11,7 +11,7 @@
 namespace indigosaddle::state {
 namespace {
 
-// Uncertainty of a deadline: its client counts from its first byte sent, after an unknown network delay.
+// A client counts its deadline from its first byte sent, an unknown network delay before this node does.
 constexpr Micros kClientClockUncertainty = std::chrono::milliseconds(50);
 
 class Reducer : private RepeatedCommands {
@@ -181,8 +181,8 @@
   }
 
   // AcceptedMessage records come first, since the other records of this turn may refer to these messages.
-  // Their replies come first among the effects: when a process is killed behind the first byte of a call, the
-  // client has been told that the message is accepted.
+  // Their replies come first among the effects: if the process is killed once the first byte of a call has
+  // left, the client has been told that the message is accepted.
   void operator()(const TurnEnded&) {
     std::string bytes;
     Effects replies;
--- a/src/state/reducer_base.h
+++ b/src/state/reducer_base.h
@@ -1,5 +1,5 @@
 // What the reducer's event handlers share: a record is applied and staged in one step, all staged records
-// become one journal write, and effects that need it are released behind it. A part of the reducer.
+// become one journal write, and effects that need it are released after it. A part of the reducer.
 #pragma once
 
 #include <algorithm>
