--- a/src/brain/brain.cpp
+++ b/src/brain/brain.cpp
@@ -7,7 +7,7 @@
 constexpr Micros kSweepEvery = seconds(5);     // between removals of unused state
 constexpr Micros kRecheck = milliseconds(20);  // between turns while messages wait
 
-// Implements Brain on top of the layers.
+// Implements Brain: the last in the chain of classes that state.h lists.
 class DecisionEngine final : public Brain, private OutcomeHandler {
  public:
   DecisionEngine(Settings settings, Host& host) {
--- a/src/brain/connection_trust.h
+++ b/src/brain/connection_trust.h
@@ -45,7 +45,7 @@
   kWrongState,       // its state does not permit the use
   kSettling,         // the quiet period after its last answer is not over
   kSuspectEndpoint,  // its endpoint has sent unsolicited data
-  kUnreadInput,      // unread bytes, or its end, wait in the receive buffer
+  kUnreadInput,      // unread bytes, or the end of the stream, wait in the receive buffer
   kIdleTooLong,      // the peer may close it at any moment
   kFirstCallOnly,    // the message may not be repeated, so its call must be a connection's first
   kEarlyAnswer,      // the answer began before the call's last byte had been sent
@@ -65,7 +65,7 @@
 struct ConnectionFacts {
   ConnectionState state = ConnectionState::kClosed;
   bool suspect_endpoint = false;  // see SuspectEndpoints
-  bool unread_input = false;      // unread bytes or its end wait in the receive buffer
+  bool unread_input = false;      // unread bytes, or the end of the stream, wait in the receive buffer
   bool address_changed = false;   // its endpoint has another address by now
   bool idle_too_long = false;     // idle for about as long as the peer allows
   bool first_call_only = false;   // the call may go out only as the first of a connection
--- a/src/brain/eligibility.h
+++ b/src/brain/eligibility.h
@@ -38,8 +38,8 @@
     return now_ > RepeatUntil(held) ? GiveUpCause::kKeyExpired : GiveUpCause::kMayHaveRun;
   }
 
-  // Whether its order key lets it go (rule 5): it is the earliest unfinished message of its key, and the key
-  // is not blocked.
+  // Whether its order key lets it go (rule 5): it is the earliest unfinished message of its key, and it has
+  // had an attempt already or the key is not blocked.
   bool HasTurn(const HeldMessage& held) const {
     if (!NeedsTurn(held)) return true;
     const KeyOrder& key = keys_.at(held.message.key);  // kept while a message of the key is held
--- a/src/brain/events.h
+++ b/src/brain/events.h
@@ -23,7 +23,9 @@
   int kind = 0;  // index into Settings::kinds
   std::uint64_t destination = 0;
   EndpointState state = EndpointState::kReady;
-  double weight = 0;  // calls a second that its destination takes, as Settings::weights says
+  // Calls a second that its destination takes, or this endpoint alone with KindSettings::separate_routes. How
+  // exact that is, Settings::weights says.
+  double weight = 0;
 };
 
 constexpr int kUnknownZone = -2;  // matches no endpoint's zone, known or not
@@ -56,10 +58,10 @@
   kError,         // the endpoint answered with an error; it may have run
   kRefused,       // the endpoint refused the call for overload; it has not run
   kTimeout,       // no answer within the attempt timeout; it may have run
-  kNoConnection,  // the connection never came up
+  kNoConnection,  // the connection never came up, or broke before the whole call was sent; it has not run
   kReset,         // the connection broke during the call; it may have run
   kCancelled,     // this node gave the call up; it may have run
-  kNotSent,       // this node did not begin the call
+  kNotSent,       // this node did not begin the call, or the answer says that it was not begun
   kUnreadable,    // it ran and was answered, but the answer can't be read
 };
 
@@ -72,7 +74,7 @@
 // The outcome of one attempt at one message.
 struct Outcome {
   MessageId id = 0;
-  int attempt = 0;
+  int attempt = 0;  // its number, from 0, without attempts before a restart
   EndpointId endpoint;
   Result result = Result::kNotSent;
   Micros latency{0};  // from sending to the result
--- a/src/brain/final_answers.h
+++ b/src/brain/final_answers.h
@@ -123,8 +123,8 @@
     }
   }
 
-  // Sheds load so that the node stays below max_open: returns the messages worth least to their clients. A
-  // full node would reject new messages whatever they are worth.
+  // Sheds load so that the node stays below max_open: gives the messages that are worth least back to their
+  // clients. A full node would reject new messages whatever they are worth.
   void ShedLoad() {
     const int reserve = std::max(1, static_cast<int>(kAdmissionReserve * set_.max_open));
     while (set_.max_open > 0 && open_messages_ > set_.max_open - reserve) {
--- a/src/brain/lifecycle.h
+++ b/src/brain/lifecycle.h
@@ -83,6 +83,7 @@
   // Times of a planned shutdown, counted from the signal. SIGKILL follows 3.7 s after the signal at the
   // earliest: the end of intake leaves room for six delays of 0.15 s in a row, the end of the process for
   // three.
+  //
   // Clients are disconnected from then on (kDisconnecting).
   static constexpr Micros kDisconnectAfter = std::chrono::milliseconds(2600);
   // Intake ends (kRejecting).
--- a/src/brain/outcomes.h
+++ b/src/brain/outcomes.h
@@ -6,8 +6,9 @@
 namespace indigosaddle::brain {
 
 constexpr double kLatencyWeight = 0.15;  // weight of the newest call in the latency figures
-constexpr double kLimitInUse = 0.8;      // share of the limit left: with less, it is in use
-constexpr int kMaxExplainedRun = 3;      // explained failures in a row, of most kinds, that are no outage
+constexpr double kLimitInUse = 0.8;      // a limit is in use when less than this share of it is left
+// Most explained failures in a row that are no outage. For a limit or a full connection table it is 1.
+constexpr int kMaxExplainedRun = 3;
 constexpr int kNotSentRun = 3;  // calls in a row that this node did not begin: it is short of something
 
 // Applies outcomes of calls.
@@ -37,7 +38,7 @@
   }
 
   // Applies an outcome to its connection, endpoint and scope. Of a call with several messages only the first
-  // outcome counts, but for its load report and Retry-After.
+  // outcome counts, except that load reports and Retry-After are taken from all.
   void NoteEndpoint(Call& call, EndpointRecord& record, const Outcome& outcome) {
     RateScope& scope = ScopeOf(record);
     const Result result = outcome.result;
@@ -53,7 +54,8 @@
   }
 
   // Counts calls that this node did not begin. A single one only met a slot that had just been taken. After
-  // several in a row the node is short of something, and attempts pause so that they last until that is over.
+  // several in a row the node is short of something, and calls to the endpoint pause, so that messages don't
+  // use up their attempts before that is over.
   void NoteNotSent(EndpointRecord& record, Result result) {
     record.not_sent = result == Result::kNotSent ? record.not_sent + 1 : 0;
     if (record.not_sent >= kNotSentRun) {
--- a/src/brain/priority.h
+++ b/src/brain/priority.h
@@ -11,7 +11,7 @@
 // writing the call.
 constexpr Micros kLeastKeyLifeLeft = milliseconds(200);
 constexpr int kFreeRepeats =
-    3;  // attempts that don't lower the priority of a message whose repeat risks nothing new
+    3;  // attempts that don't lower the priority of a message that may have run already or is safe to repeat
 
 // Ranks messages.
 struct Priority : RecoveryRules {
--- a/src/brain/records.h
+++ b/src/brain/records.h
@@ -23,7 +23,11 @@
 constexpr Micros kDemandSpan = seconds(10);       // averages the rate of messages for one destination
 constexpr Micros kServedShareSpan = seconds(30);  // over which the share of messages served is determined
 constexpr Micros kAcceptedSpan = seconds(5);      // averages the rate of messages accepted by this sender
-constexpr Micros kRetryGap = milliseconds(250);   // between probes of a possible blip; between asks for lists
+// Least time between probe requests in a possible blip (SlowStart::MaybeBlip), and before a failed
+// subscription to the list is repeated. Also the base of an endpoint's pauses
+// (EndpointRecord::blocked_until), the time within which a new connection counts as failed at once, and the
+// least idle time after which a lost call is put down to a connection that was dropped while idle.
+constexpr Micros kRetryGap = milliseconds(250);
 
 inline double Seconds(Micros t) { return std::chrono::duration<double>(t).count(); }
 
@@ -51,7 +55,8 @@
   double calls_spent = 0;                // calls, weighted, since it left kHealthy
   double failure_share = 0;              // of recent calls, exponentially weighted
   int consecutive_failures = 0;          // calls in a row that failed or were refused
-  std::vector<std::pair<Micros, double>> recent_calls;  // (send time, weight) within kBurst
+  // (send time, weight) within kBurst. A call weighs 1, a further message in it kExtraItemWeight.
+  std::vector<std::pair<Micros, double>> recent_calls;
 };
 
 // An exponentially fading count of events, read as events a second.
@@ -116,14 +121,15 @@
   KindSettings kind;
   struct Destination* destination = nullptr;  // the owner of this record
   RateScope own;                              // used where each endpoint has its own limit
-  Health health;               // limits calls where the scope is shared; ranks the endpoint in all cases
-  int in_flight = 0;           // calls
-  int explained_failures = 0;  // in a row: failures that can be explained without an outage
-  int not_sent = 0;            // in a row: calls that this node did not begin
-  std::uint64_t last_call = 0;
-  Rate call_rate{kAcceptedSpan};
-  Micros blocked_until{Micros::min()};  // no calls until then: its connection table was full
-  std::vector<Micros> idle;             // idle connections, each by the instant it became idle
+  Health health;                  // limits calls where the scope is shared; ranks the endpoint in all cases
+  int in_flight = 0;              // calls
+  int explained_failures = 0;     // in a row: failures that can be explained without an outage
+  int not_sent = 0;               // in a row: calls that this node did not begin
+  std::uint64_t last_call = 0;    // number of the latest call to it
+  Rate call_rate{kAcceptedSpan};  // calls to it
+  // No new calls until then: its connection table was full, or calls to it could not be begun.
+  Micros blocked_until{Micros::min()};
+  std::vector<Micros> idle;  // idle connections, each by the instant it became idle
 };
 
 // A destination, its endpoints and its waiting messages.
@@ -154,7 +160,7 @@
   const ClassSettings* class_settings = nullptr;
   Destination* destination = nullptr;
   bool over_share = false;      // its tenant was over its share as it came
-  bool in_flight = false;       // an attempt is
+  bool in_flight = false;       // an attempt at it is in flight
   bool ended = false;           // it has its final answer
   bool answer_pending = false;  // that answer has not arrived yet
   int timeouts = 0;             // attempts that timed out
@@ -173,8 +179,8 @@
 
 // The messages with one order key.
 struct KeyOrder {
-  std::vector<MessageId> order;         // as accepted
-  Micros blocked_until{Micros::min()};  // an attempt at one of them may still be running
+  std::vector<MessageId> order;         // in which they take their turns: as they were accepted
+  Micros blocked_until{Micros::min()};  // until then an attempt at one of them may still be running
 };
 
 }  // namespace indigosaddle::brain
--- a/src/brain/recovery.h
+++ b/src/brain/recovery.h
@@ -23,8 +23,8 @@
     health.calls_spent = 0;
   }
 
-  // Applies one result. Any failure may be an outage. A served call ends the probing: after a blip or a limit
-  // the former state returns, otherwise slow start begins.
+  // Applies one result. Any failure may be an outage. A served call ends the probing: where calls failed or
+  // were refused only briefly (MaybeBlip), the former state returns, otherwise slow start begins.
   void UpdateHealth(Health& health, const RateScope& scope, bool ok, Micros sent) {
     health.failure_share += kFailureShareWeight * ((ok ? 0 : 1) - health.failure_share);
     if (!ok) {
--- a/src/brain/repeat_rules.cpp
+++ b/src/brain/repeat_rules.cpp
@@ -6,7 +6,7 @@
 namespace indigosaddle {
 namespace {
 
-// Senders follow new settings 1.2 s after the node; the rest is for a node or a sender that was delayed.
+// Clients follow new settings 1.2 s after the node; the rest is for a node or a client that was delayed.
 constexpr Micros kSenderSettingsDelay = std::chrono::seconds(3);
 constexpr std::size_t kMaxSpans = 16;  // per class: beyond that the oldest are merged
 
@@ -18,7 +18,7 @@
 
 bool InForce(const RuleSpan& span) { return span.until == Micros::max(); }
 
-// Whether a sender may have created a message under this span at `created_at` or later.
+// Whether a client may have created a message under this span at `created_at` or later.
 bool MayApply(const RuleSpan& span, Micros created_at) {
   return InForce(span) || span.until + kSenderSettingsDelay > created_at;
 }
--- a/src/brain/repeat_rules.h
+++ b/src/brain/repeat_rules.h
@@ -1,7 +1,7 @@
 // Determines which rules for repeats and order apply to an enqueued message: those that were in force when
-// its sender created it.
+// its client created it.
 //
-// Settings change while the node serves. Senders learn of a change later than the node, and a message that
+// Settings change while the node serves. Clients learn of a change later than the node, and a message that
 // they enqueue may be older than the change. Where it is unknown under which rules a message was created, the
 // strictest of all that may apply are used. A message that was certainly created after a change follows the
 // new rules. Once enqueued, a message carries its rules itself (Message::rules, and the journal): they are
--- a/src/brain/scheduler.h
+++ b/src/brain/scheduler.h
@@ -6,19 +6,22 @@
 namespace indigosaddle::brain {
 
 constexpr double kExtraItemWeight = 0.2;  // weight of a further message in a call; the first weighs 1
-constexpr double kTimeoutDeviations = 8;  // of latency in the attempt timeout: cuts few live calls
-constexpr double kFirstTimeoutAims = 4;   // attempt timeout in aims, while the latency is not known
+// The attempt timeout is at least the mean latency and so many mean deviations: few calls that still run are
+// cut off.
+constexpr double kTimeoutDeviations = 8;
+constexpr double kFirstTimeoutAims = 4;             // attempt timeout in aims, while the latency is not known
 constexpr double kIdleConnectionTimeoutAims = 0.5;  // the same on a connection that was idle
 constexpr int kKnownLatencyCalls = 5;               // served calls from which on the latency is known
 constexpr int kMostDoublings = 4;                   // of a message's attempt timeout
 // Calls lost on idle connections, less those answered, that show that idle connections are dropped unseen.
 constexpr int kStaleConnectionLosses = 3;
-constexpr Micros kAvoidIdleFor = seconds(10);  // then no long idle connection is used for so long
-constexpr double kKeepIdlePerPrice = 100;      // seconds that an unused connection is kept for a price of 1
-// Least rate of calls, of all senders, that WorthKeepingIdle assumes for an endpoint.
+constexpr Micros kAvoidIdleFor = seconds(10);  // time after that in which no long idle connection is used
+constexpr double kKeepIdlePerPrice = 100;      // seconds that an idle one is kept per unit of price_handshake
+// Least rate in calls a second, of all senders, that WorthKeepingIdle assumes for an endpoint.
 constexpr double kSharedTableRate = 4;
 // Share of new connections that fail at once: above the first the endpoints' connection tables count as full.
-// It moves by the second for each failed connection, by the third for each made one.
+// The share is a moving average, in which the newest connection has the second as its weight if it failed at
+// once, and the third if not.
 constexpr double kTableFullShare = 0.05;
 constexpr double kTableFullRise = 0.1;
 constexpr double kTableFullFall = 0.005;
@@ -125,7 +128,7 @@
     if (!MaySend(held, record, scope) || !EndsInTime(held, scope) || !HasCallSlot(record, scope))
       return false;
     if (Tokens(scope) >= 1) return true;
-    if (!std::exchange(scope.bucket.starved, true))  // intervals count while calls wait
+    if (!std::exchange(scope.bucket.starved, true))  // of the time before calls waited, one interval counts
       scope.bucket.increased_at = std::max(scope.bucket.increased_at, now_ - kIncreaseInterval);
     return false;
   }
--- a/src/brain/settings.h
+++ b/src/brain/settings.h
@@ -93,9 +93,11 @@
   Micros fall{0};               // time window over which an overload is counted
   Micros must_ask_in{0};        // time without asking after which the current list counts as known (rule 3)
   Micros turn_gap{0};           // pause of an order key after an attempt that may still be running
-  Micros tick{0};               // slack at deadlines
-  Micros idle_close{0};         // idle timeout of connections
-  Micros max_retry_after{0};    // Retry-After given with a returned message
+  // Slack at deadlines: a waiting message is given up two ticks before its deadline, one in flight one tick
+  // after it.
+  Micros tick{0};
+  Micros idle_close{0};                 // idle timeout of connections
+  Micros max_retry_after{0};            // Retry-After given with a returned message
   std::vector<ClassSettings> classes;   // by Message::message_class
   std::vector<TenantSettings> tenants;  // by Message::tenant
   std::vector<KindSettings> kinds;      // by Endpoint::kind
--- a/src/brain/slow_start.h
+++ b/src/brain/slow_start.h
@@ -3,11 +3,11 @@
 //
 // A destination that may come back cold has a budget for all senders together, and no sender knows what the
 // others send. So each sender earns an allowance. The allowances of all senders sum to the budget, whatever
-// their number. An allowance has two parts: one for each message that comes for the destination (the messages
-// at all senders sum to the demand; times the share that was served, to what the destination can take), and
-// an even part while messages wait. Both are linear in what a sender sees, so that chance in the figures of
-// single senders evens out. No call to a recovering destination is made outside the allowance. Unused
-// allowance is kept, up to one call.
+// their number. An allowance has two parts: one for each message that comes for the destination (over all
+// senders these messages are its demand, and the demand times the share that was served is what it can take),
+// and an even part while messages wait. Both are linear in what a sender sees, so that chance in the figures
+// of single senders evens out. No call to a recovering destination is made outside the allowance. Unused
+// allowance is kept, up to one call or what is earned in kSavedPaceSpan, whichever is more.
 #pragma once
 
 #include "brain/token_bucket.h"
@@ -18,10 +18,13 @@
 constexpr double kProbesPerFall = 2;
 constexpr double kByDemand = 0.2;  // part of the budget that is shared by demand; the rest is shared evenly
 constexpr double kByDemandUnknownLimit = 0.9;  // the same where no limit is told and little is certain
-constexpr double kDeviations = 4;         // standard deviations of the senders' sum kept within the budget
+// The mean of the senders' sum, and so many standard deviations of it, stay within Allowed.
+constexpr double kDeviations = 4;
 constexpr double kSteadyVariance = 0.25;  // variance of a count that varies by one
-constexpr double kSmallBudget = 30;       // calls in Settings::fall; below it rule 4 allows more for chance
-constexpr Micros kSavedPaceSpan = milliseconds(100);  // of a pace above one call in it, so much may be saved
+// Calls in Settings::fall; below it rule 4 allows more for chance. Assumed as the budget where no limit is
+// told.
+constexpr double kSmallBudget = 30;
+constexpr Micros kSavedPaceSpan = milliseconds(100);  // what is earned in it may be saved, if above one call
 constexpr Micros kLeastOutage = seconds(4);           // after a shorter gap in service nothing is cold
 constexpr double kOutageShare = 0.5;                  // of recent calls that fail: more than a blip
 constexpr double kRoughSafe = 1 / 1.5;                // part of a rough listed limit that surely exists
--- a/src/brain/state.h
+++ b/src/brain/state.h
@@ -1,8 +1,8 @@
 // State of the decision engine and look-ups in it.
 //
-// The layers of the engine stand on each other, each in a file that includes the one below: records.h,
-// state.h, token_bucket.h, slow_start.h, recovery.h, priority.h, eligibility.h, final_answers.h, scheduler.h,
-// outcomes.h. brain.cpp stands on top, where events come in.
+// The engine is a chain of classes, each derived from the one before. Their files, each of which includes the
+// one before: records.h (plain types only), state.h, token_bucket.h, slow_start.h, recovery.h, priority.h,
+// eligibility.h, final_answers.h, scheduler.h, outcomes.h. The last class is in brain.cpp and handles events.
 #pragma once
 
 #include <algorithm>
@@ -73,8 +73,8 @@
   bool list_received_ = false;           // with at least one entry
   int open_messages_ = 0;                // without a final answer
   int stale_losses_ = 0;                 // calls lost on idle connections, less those answered
-  std::uint64_t last_call_ = 0;
-  std::uint64_t turn_from_call_ = 0;  // calls with higher numbers were opened in this turn
+  std::uint64_t last_call_ = 0;          // number of the latest call
+  std::uint64_t turn_from_call_ = 0;     // calls with higher numbers were opened in this turn
   std::map<MessageId, HeldMessage> held_;
   std::set<std::pair<Micros, MessageId>> waiting_due_;    // when waiting messages must be checked
   std::set<std::pair<Micros, MessageId>> in_flight_due_;  // when messages in flight must be checked
--- a/src/brain/token_bucket.h
+++ b/src/brain/token_bucket.h
@@ -7,14 +7,14 @@
 namespace indigosaddle::brain {
 
 constexpr double kDecreaseFactor =
-    0.7;  // share of the rate kept at a refusal: the default of the AIMD source
+    0.7;  // share of the rate kept at a refusal: the default given where the AIMD algorithm comes from
 // Minimum and step of the rate, as shares of the believed limit, before the division among senders.
 constexpr double kMinShare = 0.5;
 constexpr double kStepShare = 0.1;
 constexpr Micros kIncreaseInterval = seconds(1);  // time for one step up
 constexpr Micros kBurst = seconds(1);             // time in which the tokens of a full bucket accrue
 constexpr Micros kReopenAfter = seconds(20);      // without a refusal for so long, the limit no longer exists
-constexpr double kSteadyDemand = 2.5;  // messages for a scope in kDemandSpan that are more than single ones
+constexpr double kSteadyDemand = 2.5;  // messages for a scope in kDemandSpan from which on demand is steady
 constexpr double kLeastRate = 2;       // calls a second that any destination is believed to take
 
 // Paces calls per rate scope.
