--- a/src/state/attempt_result.h
+++ b/src/state/attempt_result.h
@@ -44,8 +44,7 @@
   // Closed by this node for another reason, after the last byte of the request.
   kCancelled,
   // This node did not start the call: it had no file descriptor, the journal could not be written, or the
-  // call
-  // was not allowed any more, as in a shutdown.
+  // call was not allowed any more, as in a shutdown.
   kNotStarted,
 };
 constexpr AttemptResult kLastAttemptResult = AttemptResult::kNotStarted;
