--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -163,7 +163,7 @@
 
 void AdminServer::Accept() {
   // Connections that have their response, and those without a complete request, must not block the platform's
-  // health checks. At the limit the oldest of the former is evicted, otherwise the oldest of the latter.
+  // health checks. At the limit the oldest of the former is evicted, or, if there is none, of the latter.
   if (connections_.size() >= kMaxConnections) {
     const auto eviction_rank = [](const auto& entry) {
       return std::pair(!entry.second->responded(), entry.second->accepted_at());
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -2,8 +2,9 @@
 // quiesce the node and resume it. Each connection carries one request. Responses are made at once from the
 // node's own state, so a request is answered within one turn, however busy the node is.
 //
-// Limits: the number of connections (a new one evicts an old one), the bytes of a request's head, and the
-// time from accept to a complete request. A connection that exceeds a limit is closed without a response.
+// Limits: the number of connections (a new one evicts an old one), the bytes of a request's head (a longer
+// one is answered with status 431), the time from accept to a complete request, and the time for the client
+// to read the response. A connection that exceeds a time is closed.
 #pragma once
 
 #include <cstddef>
--- a/src/net/backoff.h
+++ b/src/net/backoff.h
@@ -1,6 +1,6 @@
-// Delays before retries: capped exponential back-off with jitter. It keeps many nodes that lost the same
-// service at the same moment from asking for it again all at once, and from keeping a server that refuses
-// them busy with refusing. No I/O; the same seed gives the same delays.
+// Delays before retries: capped exponential back-off with jitter. Nodes that lost the same service at the
+// same moment then do not all ask for it again at once, and do not keep a server that refuses their requests
+// busy with refusing. No I/O; the same seed gives the same delays.
 #pragma once
 
 #include <cstdint>
@@ -29,19 +29,20 @@
   std::mt19937_64 random_;
 };
 
-// Timing of a node's requests to discovery. Nodes that retry too soon keep an overloaded discovery refusing
-// all of them, however long it lasts. So the rate that one node alone may use is shared by all: with many
-// nodes, each waits that many times as long.
+// Timing of a node's requests to discovery. If nodes retry too soon, an overloaded discovery goes on refusing
+// all of them without end. So all nodes share the rate that a single one may use: with n nodes, each waits
+// n times as long, up to a limit.
 struct RequestPacing {
   // Limit of the random delay before the first request after a start or a lost watch.
   Micros initial_jitter{0};
   Micros min_retry_delay{0}, max_retry_delay{0};  // before a refused request is repeated
-  Micros response_timeout{0};                     // at first, until the response begins
+  // From the request until the response begins. The initial value: Discovery raises it while none comes.
+  Micros response_timeout{0};
 };
 
-// `must_ask_in`: a node that has not asked for this long counts as knowing the list. Zero where requests cost
-// discovery nothing: they may then come as soon as those of a single node. In any case a node that was
-// refused asks again within 4 s.
+// `senders`: number of nodes that ask, this one included. `must_ask_in`: a node that has not asked for this
+// long counts as knowing the list. Zero where requests cost discovery nothing: they may then come as soon as
+// those of a single node. In any case a node that was refused asks again within 4 s.
 RequestPacing RequestPacingFor(int senders, Micros must_ask_in);
 
 }  // namespace indigosaddle::net
--- a/src/net/call_answer.cpp
+++ b/src/net/call_answer.cpp
@@ -10,8 +10,8 @@
          !state::MeaningOf(attempt_result).message_done;
 }
 
-// The Retry-After of an answer. A 429 always asks for a pause, even if the header is missing or unreadable; a
-// 503 only if it has the header.
+// The Retry-After of an answer, which the header x-retry-in-ms gives. A 429 always asks for a pause, even if
+// the header is missing or unreadable; a 503 only if it has the header.
 Micros RetryAfterOf(const HttpReader& answer) {
   const state::AttemptResult attempt_result =
       state::AttemptResultOfStatus(answer.status(), answer.header("x-no-slot") == "1");
@@ -60,9 +60,9 @@
   pool_.OnRestFinished(*this, CheckConnectionUse(facts, ConnectionUse::kKeepOpen));
 }
 
-// The head of the answer decides the call once it is complete; a status line with 200 decides it alone. The
-// content of the body means nothing. But if the status is not 200, a body that does not arrive as announced
-// makes the answer doubtful.
+// The answer's status decides the call; the content of the body means nothing. With 200 the call ends once
+// the head is complete, and the status line is enough if the rest of the head is malformed or never comes.
+// With another status, the answer counts as malformed or broken unless its body arrives as announced.
 void CallPool::Connection::ReadAnswer(bool valid) {
   if (reader_.done()) return OnAnswer(!valid, valid && reader_.keep_alive());
   if (!valid) return OnMalformedAnswer();
--- a/src/net/call_connection.cpp
+++ b/src/net/call_connection.cpp
@@ -141,7 +141,7 @@
   if (last_byte_timer_) last_byte_timer_->Stop();
 }
 
-// Bytes may still wait in the system if the peer does not read.
+// Also ends a call that was handed to the system but waits there because the peer does not read.
 void CallPool::Connection::OnLastByteDeadline() {
   if (!in_call_ || !stream_.undelivered()) return;
   EndCall(request_sent_ ? state::AttemptResult::kBrokenAfterSent : state::AttemptResult::kBrokenBeforeSent);
--- a/src/net/call_connection.h
+++ b/src/net/call_connection.h
@@ -38,7 +38,7 @@
   // Starts a call, after connecting if `connect`. The result always comes later, through OnCallFinished.
   void StartCall(const CallRequest& request, bool connect);
   void EndUnstarted() { EndCall(state::AttemptResult::kNotStarted); }
-  // The call is over and reported, and the rest of the answer's body is still to be read.
+  // The call is over, but the rest of the answer's body is still to be read.
   void AwaitRest();
   // The connection becomes idle.
   void BecomeIdle();
@@ -92,7 +92,8 @@
   bool answered_early_ = false;  // the answer began before the call's last byte had been sent
   bool answer_accepted_ = false;
   std::size_t last_read_size_ = 0;
-  // A failure known when the call started. The timer reports it, so that it is never reported within Start.
+  // Why the call was not sent. call_timer_ reports it, so that it is never reported within
+  // CallPool::Start.
   std::optional<state::AttemptResult> start_failure_;
 };
 
--- a/src/net/call_format.h
+++ b/src/net/call_format.h
@@ -25,12 +25,13 @@
 // The HTTP request of the call. `timeout` is sent as the time that this node still waits.
 std::string FormatCall(const CallRequest& request);
 
-// Parses the load report header. If any part is unreadable or given twice, the whole report is ignored.
+// Parses the value of the header endpoint-load-metrics: `x0` is LoadReport::left, `x1` is LoadReport::limit,
+// other names are ignored. If any part is unreadable or given twice, the whole report is ignored.
 LoadReport ParseLoadReport(std::string_view text);
 
-// Parses a Retry-After header with one or several values and returns the longest. An unreadable value counts
-// as kUnreadableRetryAfter: it is certain that the endpoint asked for a pause, but a malformed answer must
-// not stop a destination for long.
+// Parses a Retry-After: the value of the header x-retry-in-ms, in milliseconds. Of several values returns the
+// longest. An unreadable value counts as kUnreadableRetryAfter: it is certain that the endpoint asked for a
+// pause, but a malformed answer must not stop a destination for long.
 Micros ParseRetryAfter(std::string_view text);
 constexpr Micros kUnreadableRetryAfter = std::chrono::seconds(1);
 
--- a/src/net/call_pool.cpp
+++ b/src/net/call_pool.cpp
@@ -8,8 +8,8 @@
 namespace indigosaddle::net {
 namespace {
 
-// An idle connection is closed this long before the peer may close it, but at most a quarter of that time
-// earlier, so that a request on its way arrives in time.
+// An idle connection is closed this long before the peer may close it (Limits::idle_close), or a quarter of
+// idle_close if that is less, so that a request on its way arrives in time.
 constexpr Micros kIdleMargin = std::chrono::milliseconds(500);
 constexpr Micros kSweepInterval = std::chrono::milliseconds(250);
 
--- a/src/net/call_pool.h
+++ b/src/net/call_pool.h
@@ -27,6 +27,8 @@
   struct Limits {
     Micros connect_timeout{0};  // zero: bounded by the call's timeout only
     Micros idle_close{0};       // idle time after which the peer closes a connection; zero: it never does
+    // When this many are open, a new connection replaces the longest idle one. If none is idle, it is opened
+    // all the same.
     std::size_t max_connections = 0;
   };
 
--- a/src/net/call_reports.h
+++ b/src/net/call_reports.h
@@ -25,12 +25,13 @@
 struct CallResult {
   std::uint64_t serial = 0;
   state::AttemptResult attempt_result = state::AttemptResult::kNotStarted;
-  Micros latency{0}, wait{0};  // `wait`: Retry-After of the answer; zero: none
+  // `latency`: from the call's start, connecting included. `wait`: Retry-After of the answer; zero: none.
+  Micros latency{0}, wait{0};
   LoadReport load;
   ConnectionInfo connection{};
 };
 
-// Bytes that arrived on a connection and belong to no call on it, or not to that call alone.
+// Bytes that arrived on a connection and are not, or not only, the answer to its call.
 struct UnsolicitedData {
   std::string endpoint, last_id;  // `last_id`: message of the latest call on the connection
   ConnectionInfo connection;
@@ -53,7 +54,8 @@
 struct ClosedConnection {
   std::string endpoint, last_id;  // `last_id`: message of the latest call on the connection
   ConnectionInfo connection;
-  DenialReason why = DenialReason::kNone;  // kNone: closed for a reason that was not observed on it
+  // kNone: closed for none of these reasons, but for example after a failed call or to make room.
+  DenialReason why = DenialReason::kNone;
 };
 
 // Receives the events of a CallPool.
--- a/src/net/control_server.h
+++ b/src/net/control_server.h
@@ -3,8 +3,8 @@
 // user (root excepted) is refused by its credentials.
 //
 // Limits: the number of connections, the bytes of a line, the requests of a peer without an answer, the time
-// for a line, and the time for a peer to read answers. A peer that exceeds one is disconnected. The node's
-// message delivery never waits for a peer.
+// for a line, the time without a request, and the time for a peer to read answers. A peer that exceeds one is
+// disconnected. The node's message delivery never waits for a peer.
 #pragma once
 
 #include <cstddef>
@@ -29,8 +29,8 @@
     // Must be answered by Answer, now or later; an answer to a peer that is gone is dropped. `line` is
     // without the line end.
     virtual void OnControlRequest(std::uint64_t peer, std::string_view line) = 0;
-    // A peer was refused or disconnected, for the log. `uid` is 0 where a connected peer exceeded a limit,
-    // and where the system does not report the user.
+    // A new peer was refused, or a connected one sent a request that is too long or one too many; for the
+    // log. `uid` is 0 for a connected peer, and where the system does not report the user.
     virtual void OnControlRefused(std::uint64_t uid, std::string_view reason) = 0;
   };
 
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -13,6 +13,7 @@
 // A node counts as knowing a change 6 s after discovery had it and was reachable, whatever happened before. A
 // watch gets a line every 2 s; one without is broken, and the request that replaces it has the other two
 // timeouts. docs/design/005-endings.md adds them up for each way in which a response can fail to come.
+
 // Of an open watch, since its last complete line.
 constexpr Micros kWatchLineTimeout = std::chrono::milliseconds(3100);
 // From the request until the response begins.
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -26,7 +26,8 @@
     virtual ~Handler() = default;
     virtual void OnMembers(MemberListUpdate update) = 0;
     // The watch or a request failed; the next request is already scheduled. The list counts as outdated from
-    // `outdated_from` on unless an update comes before; Micros::max() while discovery is not reachable.
+    // `outdated_from` on unless an update comes before. Micros::max(): discovery has refused no request since
+    // the list was last confirmed (ListClock).
     virtual void OnWatchLost(std::string_view reason, Micros outdated_from) = 0;
   };
 
@@ -52,9 +53,9 @@
   void OnResponseTimeout();
   // How a watch or a request failed.
   enum class Failure : std::uint8_t {
-    kEnded,      // closed by discovery
-    kMalformed,  // unreadable or not what was asked for: outdates the list like a refusal, but retried sooner
-    kTimedOut,   // no data in time, after an update had come
+    kEnded,       // the connection was closed by discovery, or broke
+    kMalformed,   // unreadable or not what was asked for: a refusal to ListClock, but retried sooner
+    kTimedOut,    // no data in time, after an update had come
     kNoResponse,  // not reached, or no update at all in time
     kRefused,     // a status other than 200
   };
--- a/src/net/http_reader.cpp
+++ b/src/net/http_reader.cpp
@@ -53,8 +53,8 @@
     };
     s.on_status = [](http_parser* p, const char* data, std::size_t size) {
       HttpReader& self = ReaderOf(p);
-      // The beginning of another status line, which lay unread when this response began: it is not known
-      // which of the two statuses counts.
+      // The reason phrase runs into a second status line: the first one is the cut-off beginning of another
+      // response, which lay unread when this one began. It is not known which of the two statuses counts.
       const bool second_status_line = std::string_view(data, size).find("HTTP/") != std::string_view::npos;
       return self.CountHeadBytes(size) && !second_status_line ? 0 : 1;
     };
--- a/src/net/list_clock.h
+++ b/src/net/list_clock.h
@@ -13,7 +13,7 @@
 
 namespace indigosaddle::net {
 
-// A node counts as knowing a change of the list this long after discovery could be reached with it.
+// A node counts as knowing a change of the list this long after discovery had it and was reachable.
 constexpr Micros kListChangeDeadline = std::chrono::seconds(6);
 // Subtracted from that, for calls that are still on their way at the deadline.
 constexpr Micros kListChangeMargin = std::chrono::milliseconds(300);
@@ -27,14 +27,16 @@
   void OnNoResponse(Micros asked_at) { confirmed_at_ = std::max(confirmed_at_, asked_at); }
   // A request was refused, or its response could not be read.
   void OnRefused() { refused_ = true; }
-  // The list counts as outdated from then on; Micros::max() while discovery is not reachable.
+  // The list counts as outdated from then on. Micros::max(): no request was refused since the list was last
+  // confirmed. A discovery that is only unreachable does not outdate the list.
   Micros outdated_from() const {
     return refused_ ? confirmed_at_ + kListChangeDeadline - kListChangeMargin : Micros::max();
   }
 
  private:
-  Micros confirmed_at_{0};  // the list was confirmed, or discovery unreachable, as late as this
-  bool refused_ = false;    // since the list was last confirmed
+  // The latest instant at which the list was confirmed or discovery may have been unreachable.
+  Micros confirmed_at_{0};
+  bool refused_ = false;  // since the list was last confirmed
 };
 
 }  // namespace indigosaddle::net
--- a/src/net/listen_socket.h
+++ b/src/net/listen_socket.h
@@ -1,6 +1,6 @@
 // A listening TCP socket on the loop. It reports that connections are pending, and its owner accepts them one
-// by one. So the owner can first close another connection to free a slot, and a process without free
-// descriptors neither loops busily nor resets pending connections, one of which uv_listen does.
+// by one. So the owner can first close another connection to free a slot. And a process without free
+// descriptors neither loops busily nor resets pending connections; with uv_listen it would do one of these.
 #pragma once
 
 #include <uv.h>
--- a/src/net/member_list.h
+++ b/src/net/member_list.h
@@ -17,7 +17,7 @@
   // `host`: the endpoint's id. `dial`: the address to connect to, as "ip:port". `kind`: discovery's "class".
   std::string host, dial, site, kind;
   std::uint64_t block = 0;  // the endpoint's destination
-  double share = 0;         // calls a second that it takes, where weights mean that; 0: not reported
+  double share = 0;         // calls a second that its destination takes (Settings::weights); 0: not reported
   Health health = Health::kReady;
 };
 
--- a/src/net/resp.cpp
+++ b/src/net/resp.cpp
@@ -63,7 +63,7 @@
 }
 
 // Reads the order key, which is used if the class is ordered. A key of zeros means none. It can be the
-// command's first argument (`first_word`) or the field "thread".
+// command's first argument (`key_argument`) or the field "thread".
 std::string ReadOrderKey(const std::string& key_argument, const EnqueueFields& fields, Enqueue& out) {
   if (key_argument.empty()) return "the key is empty";
   if (key_argument.find_first_not_of('0') != std::string::npos) {
--- a/src/net/resp_server.cpp
+++ b/src/net/resp_server.cpp
@@ -60,8 +60,8 @@
   return true;
 }
 
-// The first pending client is certain to be there. For the others a slot is freed only when the loop reports
-// that they are pending.
+// If all slots are in use, a client is evicted only for the first one that is pending. Whether there are
+// others is not known here; if so, the loop reports them.
 void RespServer::AcceptPending() {
   accept_postponed_ = false;
   listener_.Resume();
--- a/src/net/resp_server.h
+++ b/src/net/resp_server.h
@@ -91,7 +91,8 @@
   // Nothing is reported to the handler.
   void Close();
   std::size_t connections() const { return connections_.size(); }
-  // While not ready, PING is answered with an error, so that a front moves its clients to other nodes.
+  // While not ready, PING is answered with an error, so that a front (a proxy that spreads clients over the
+  // nodes) moves its clients to other nodes.
   void SetReady(bool ready) { ready_ = ready, disconnecting_ &= !ready; }
 
  private:
