--- a/src/node/config.h
+++ b/src/node/config.h
@@ -40,13 +40,14 @@
 };
 
 struct Config {
+  // `listen`, `discovery`: ip:port of the server for clients, and of discovery.
   std::string name, listen, discovery, state_folder;
   // ip:port of the operators' HTTP server; empty: none.
   std::string admin_address;
   // The list of endpoints as last held, which the platform's document passes on in discovery's form; empty:
   // none.
   std::string known_list;
-  // Limits of the process.
+  // Limits of the process. `sockets`: open descriptors of any kind.
   std::size_t memory_bytes = 0, sockets = 0, disk_bytes = 0;
   Micros connect_timeout{0};
   Settings settings;
@@ -93,7 +94,8 @@
 // `next` no longer has keep their settings but lose their name.
 Config WithRuntimeChanges(const Config& running, const Config& next);
 
-// Paths of the values in which the two differ and that change only with a restart.
+// Paths of the values in which the two differ and that change only with a restart. The seed is left out: if
+// the operator's file gives none, each reading generates another.
 std::vector<std::string> PathsNeedingRestart(const Config& running, const Config& next);
 
 // The EDGE_ variables of the process's environment that are set.
--- a/src/node/config_changes.cpp
+++ b/src/node/config_changes.cpp
@@ -12,6 +12,7 @@
 
 using nlohmann::json;
 
+// From the start of a process to the second trial of a change whose trial the process before it did not end.
 constexpr Micros kResumeAfter = std::chrono::seconds(60);
 
 config::TransactionRules TransactionRulesOf(const Config& config) {
@@ -155,7 +156,7 @@
     owner_.Adopt(WithRuntimeChanges(owner_.running(), *next));
   } else {
     for (const std::string& fault : faults) error += (error.empty() ? "" : "; ") + fault;
-    // The kept generation was valid when it came into force.
+    // A rollback is not expected to fail, as the kept generation was valid when it came into force.
     if (apply.undo) log_.Write(base::kConfigUnusable, error);
   }
   step_(apply.undo ? "config.undone" : "config.applied");
--- a/src/node/journal_file.h
+++ b/src/node/journal_file.h
@@ -30,15 +30,16 @@
   Role Claim();
   // Whether another process waits to take over from this owner.
   bool HasSuccessor() const;
-  // Whether `journal.next` was left by a process that has ended: true for an owner until its first rewrite,
-  // unless a successor has started meanwhile.
+  // Whether `journal.next` can't be a running successor's: this owner holds that file's lock too, until its
+  // first rewrite. The file was then left by a process that has ended, or by this one before its take-over.
   bool next_is_abandoned() const { return owner_lock_ >= 0 && next_lock_ >= 0 && path_ == owner_path_; }
 
   // Read the journal that an earlier process left, and remove an unfinished rewrite. They return false and
   // set `error` if the folder can't be used, or if the file can't be read to its end, is longer than
   // `max_bytes` or has another version: a part of it would be mistaken for all pending messages. Read reads
   // the owner's file; a successor reads it as well, to number its messages past those in it. ReadNext reads
-  // the successor's file, which a successor that died before its take-over leaves to the owner.
+  // the successor's file, which a successor that died before its take-over leaves to the owner. Both set
+  // `error` also on success, if they removed an unfinished rewrite.
   bool Read(std::size_t max_bytes, std::string& bytes, std::string& error);
   bool ReadNext(std::size_t max_bytes, std::string& bytes, std::string& error);
 
--- a/src/node/message_rules.h
+++ b/src/node/message_rules.h
@@ -30,7 +30,8 @@
   ApplicableRules RulesFor(const std::string& message_class, const EnqueueFacts& enqueue) const {
     return history_.RulesFor(message_class, enqueue);
   }
-  // Whether the file was neither missing nor damaged when it was last read: by Start, or by TakeOver since.
+  // Whether the prior rules are known, by the latest of Start and TakeOver: the file was read whole, or at
+  // Start there was none in a folder from which no process had served.
   bool known() const { return known_; }
 
  private:
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -223,7 +223,8 @@
   int senders_in_force_ = 0;                       // the number that the engine has
   RepeatedEvent watch_losses_, new_watch_losses_;  // at discovery's present and at its new address
   bool turn_due_ = false, journal_failed_ = false;
-  // The predecessor still owns the folder; another process uses it, so that each has half of its room.
+  // `is_successor_`: the predecessor still owns the folder. `journal_quota_shared_`: another process uses the
+  // folder too, so each has half of the journal's room.
   bool is_successor_ = false, journal_quota_shared_ = false;
   // When the present and the previous iteration of the loop began. A signal that is handled now arrived after
   // the previous one had begun.
--- a/src/node/node_operations.cpp
+++ b/src/node/node_operations.cpp
@@ -1,5 +1,5 @@
 // Operations on a running node: a new configuration, a new address of discovery, and quiescing it for a
-// front.
+// front (a proxy that spreads clients over the nodes).
 #include <fmt/format.h>
 
 #include <algorithm>
