--- a/src/fleet/agent.h
+++ b/src/fleet/agent.h
@@ -55,7 +55,8 @@
 // Owns the fleet's thread. The destructor leaves the fleet and ends the thread.
 class Agent : private Transport::Handler {
  public:
-  // `on_change` is called on the agent's thread after a snapshot was published or events were added.
+  // `on_change` is called on the agent's thread after a snapshot was published. An event that comes without a
+  // new snapshot (trouble with fleet.memory) is not announced by itself; it waits for the next call.
   // `published` must outlive the agent.
   Agent(AgentOptions options, PublishedSnapshot& published, std::function<void()> on_change);
   ~Agent() override;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -164,7 +164,9 @@
 
 void Fleet::OnPacket(const Packet& packet, Micros now, Actions& actions) {
   if (packet.from == options_.name || !members_.Knows(packet.from)) return;
-  // The packet is from an earlier process of its sender, delayed on the network.
+  // The packet is from an earlier process of its sender, delayed on the network, or the sender's start
+  // numbers began anew. In the second case, once the process with the higher number counts as dead, the
+  // answer to a ping tells the sender which number to exceed (Members::ApplyAboutSelf).
   if (packet.start < members_.LatestUpdate(packet.from).start) {
     if (packet.kind == PacketKind::kPing) Send(PacketKind::kGossip, packet.from, 0, "", actions);
     return;
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -10,10 +10,11 @@
 //
 // F3: Only the member itself raises its incarnation; an update about an earlier process of a name is ignored.
 //
-// F4: A member that is isolated knows so within a lease's term, and from then on claims nothing agreed.
+// F4: A member that is isolated knows so within a lease's term, and from then on its snapshot says that
+// agreed values are unreliable (Connectivity::kIsolated).
 //
-// F5: The count of senders never falls on knowledge that is not the agreed one: where unsure, more senders
-// are assumed.
+// F5: The count of senders is lowered only to an agreed number, and only while this member can rely on it;
+// otherwise more senders are assumed.
 #pragma once
 
 #include <cstdint>
--- a/src/fleet/fleet_agreed.cpp
+++ b/src/fleet/fleet_agreed.cpp
@@ -83,8 +83,8 @@
   Dispatch(messages, now, actions);
 }
 
-// Number of members that may be sending: those present, and those declared dead without having left for less
-// than a lease's term.
+// Number of members that may be sending: those present, and those declared dead less than a lease's term ago.
+// Those that have left do not count.
 std::size_t Fleet::Senders(Micros now) const {
   std::size_t count = 1;
   for (const auto& [name, member] : members_.all()) {
--- a/src/fleet/gossip.cpp
+++ b/src/fleet/gossip.cpp
@@ -7,7 +7,7 @@
 namespace indigosaddle::fleet {
 namespace {
 
-// How often each item is sent, times the binary logarithm of the fleet's size (SWIM's lambda). With 3 an item
+// Each item is sent this many times the binary logarithm of the fleet's size (SWIM's lambda). With 3 an item
 // fails to reach a member of a large fleet less than once in 10^4; the periodic exchange covers the rest.
 constexpr double kRetransmitMultiplier = 3;
 constexpr std::size_t kMaxConsidered = 256;  // items per packet, those sent least often
--- a/src/fleet/gossip.h
+++ b/src/fleet/gossip.h
@@ -19,7 +19,7 @@
   void Add(const MemberUpdate& update);
   void Add(const Fact& fact);
 
-  // Adds items to the packet that fit into `bytes`. `members` is the size of the fleet.
+  // Adds to the packet those items that fit into `bytes`. `members` is the size of the fleet.
   void Fill(Packet& packet, std::size_t bytes, std::size_t members);
   bool empty() const { return items_.empty(); }
   std::size_t size() const { return items_.size(); }
--- a/src/fleet/members.h
+++ b/src/fleet/members.h
@@ -59,7 +59,7 @@
   std::size_t present() const;
   // How often this member refuted a suspicion of itself since its start: a sign that this process is slow.
   std::uint64_t refuted() const { return refuted_; }
-  // True where a later process has this name and is alive: this one may hold and claim nothing more.
+  // True where a later process has this name and is alive: this one may no longer hold leases.
   bool superseded() const { return superseded_; }
   // Start number of this process.
   std::uint64_t start() const { return start_; }
--- a/src/fleet/prober.h
+++ b/src/fleet/prober.h
@@ -41,7 +41,8 @@
   // A request to ping `target` on behalf of `from`.
   void OnPingReq(const std::string& from, std::uint64_t seq, const std::string& target, Micros now,
                  ProbeMessages& messages);
-  // Moves all deadlines by `gap`, for which this process stood still.
+  // Moves the deadlines of probes and relayed pings by `gap`, for which this process stood still, and raises
+  // the health penalty.
   void ShiftDeadlines(Micros gap);
   // This process had to refute a suspicion of itself: it is slow, or was.
   void OnRefutation();
--- a/src/fleet/proposer.h
+++ b/src/fleet/proposer.h
@@ -29,7 +29,8 @@
   Proposer(std::string self, std::uint64_t start, std::string resource, std::vector<std::string> voters,
            const Timing& timing, std::uint64_t seed, std::uint64_t floor);
 
-  // Starts or stops acquiring the lease. False gives up a held lease first, and then releases it.
+  // Starts or stops acquiring the lease. With `want` false, this process stops using a held lease, and only
+  // then tells the voters that it is free.
   void SetWanted(bool want, Micros now, LeaseMessages& messages);
   // Does what is due; appends what is to be sent to `messages`.
   void Tick(Micros now, LeaseMessages& messages);
--- a/src/fleet/sites.h
+++ b/src/fleet/sites.h
@@ -20,14 +20,15 @@
   kDegraded,   // some of its members are gone
   kNoList,     // it serves, but discovery is lost there
   kNoClients,  // it serves, but no clients reach it
-  kLost,       // agreed: nobody elsewhere sees any of its members
+  kLost,       // agreed: accusing_share of the members elsewhere see none of its members
   kReturning,  // it is seen again, but not yet for long enough
 };
 const char* NameOf(SiteState state);
 
 // When a site counts as lost, and when as up again.
 struct SiteRules {
-  // Share of the members of other sites that must see nobody of the site for it to be lost.
+  // Share of the members of other sites that must see nobody of the site for it to be lost. Also the share of
+  // its own members present that must be without discovery, or without clients, for kNoList or kNoClients.
   double accusing_share = 0.66;
   // How long a site must be seen again after its first loss before it is up.
   Micros return_hold{std::chrono::seconds(30)};
@@ -100,7 +101,8 @@
   // What this coordinator knows of one site.
   struct History {
     SiteState state = SiteState::kUp;
-    // When `state` was entered, or when a returning site was last not whole.
+    // When `state` was entered, or when a returning site last was not whole: one of its members out of
+    // contact, or one elsewhere that saw none of them.
     Micros since{0};
     // Times of the losses within the last hour, oldest first.
     std::deque<Micros> losses;
--- a/src/fleet/transport.h
+++ b/src/fleet/transport.h
@@ -21,11 +21,13 @@
 
 // Counts since the start; may be read from any thread.
 struct Counters {
+  // The packets are datagrams alone; the bytes include those of exchanges.
   std::atomic<std::uint64_t> packets_in{0};
   std::atomic<std::uint64_t> packets_out{0};
   std::atomic<std::uint64_t> bytes_in{0};
   std::atomic<std::uint64_t> bytes_out{0};
-  // Received bytes that are no packet, or a packet from an address that is not its sender's.
+  // Datagrams and complete packets of exchanges that can't be decoded, are of a kind that does not belong
+  // there, or don't come from their sender's address.
   std::atomic<std::uint64_t> unreadable{0};
   std::atomic<std::uint64_t> exchanges{0};
   std::atomic<std::uint64_t> exchanges_failed{0};
@@ -55,7 +57,8 @@
   std::string Listen(const std::string& address);
   // Sends a datagram to the named member. Errors are ignored, as a lost datagram is.
   void Send(const std::string& to, const Packet& packet);
-  // Opens a connection to the named member and exchanges all known state. Ignored at the limit.
+  // Opens a connection to the named member and exchanges all known state. Does nothing where too many
+  // exchanges run already.
   void BeginExchange(const std::string& with);
 
  private:
--- a/src/fleet/types.h
+++ b/src/fleet/types.h
@@ -69,7 +69,7 @@
 enum class LeaseKind : std::uint8_t {
   kPrepare,          // to a voter: promise to accept no ballot lower than this one
   kPromise,          // promised; `accepted` is the running lease, if any
-  kReject,           // a higher ballot was promised: `accepted`
+  kReject,           // `accepted` was promised before, and its counter is as high or higher
   kPropose,          // to a voter: grant the lease to the proposer from now on, for its term
   kAccept,           // granted
   kRelease,          // to a voter: the proposer has stopped using the lease
