--- a/src/config/guard.cpp
+++ b/src/config/guard.cpp
@@ -11,7 +11,8 @@
 
 constexpr double kMaxTestedMessages = 10000;  // with more, the exact test costs much and tells no more
 constexpr double kMinShareRise = 0.05;        // a smaller rise is no regression, however significant
-constexpr double kMinOddsRatio = 3;           // to the baseline's odds; the same for rare and common outcomes
+// Least ratio of the trial's odds to the baseline's. Odds let one bound serve rare and common outcomes.
+constexpr double kMinOddsRatio = 3;
 constexpr std::uint64_t kMinBadMessages = 10;  // in the trial; fewer are no regression
 constexpr double kMaxOverdispersion = 50;      // ratio of the variance to that of independent messages
 
--- a/src/config/schema_lists.cpp
+++ b/src/config/schema_lists.cpp
@@ -1,4 +1,4 @@
-// The schema's rows for the lists of tables, the watched settings and the program itself.
+// The schema's rows for the lists of tables, shadow evaluation of other settings, and the program itself.
 #include "config/schema.h"
 #include "config/schema_rows.h"
 
--- a/src/config/schema_rows.h
+++ b/src/config/schema_rows.h
@@ -7,8 +7,8 @@
 
 namespace indigosaddle::config {
 
-const std::vector<Setting>& NodeRows();   // the node, its limits, delivery, the return of a destination
-const std::vector<Setting>& ListRows();   // the lists, the watched settings, the program itself
+const std::vector<Setting>& NodeRows();   // the node, its limits, delivery, recovery of a destination
+const std::vector<Setting>& ListRows();   // the lists of tables, shadow evaluation, the program itself
 const std::vector<Setting>& FleetRows();  // the fleet: what nodes share
 
 }  // namespace indigosaddle::config
--- a/src/config/transaction.h
+++ b/src/config/transaction.h
@@ -29,7 +29,7 @@
 struct Generation {
   std::uint64_t number = 0;
   std::string author, reason, document;  // document: the whole text of the operator's file
-  Micros staged_at{0};                   // wall-clock time since 1970
+  Micros staged_at{0};                   // since 1970: by the wall clock at a start, else an event's `now`
   GenerationResult result = GenerationResult::kOnTrial;
   std::string result_reason;  // what the trial showed, or why the generation was undone
   int crashes_on_trial = 0;   // unplanned ends of the process while the generation was on trial
@@ -62,6 +62,7 @@
 };
 
 // ---- Events -----------------------------------------------------------------------------------------------
+// `now` is the time of the node's loop (src/net/loop.h): steady, and counted from 1970.
 struct Started {  // comes first: the saved state; this process serves the kept generation of it
   History history;
   Micros now{0};
--- a/src/faults/cluster.cpp
+++ b/src/faults/cluster.cpp
@@ -53,8 +53,8 @@
 }  // namespace
 
 Cluster::Cluster(ClusterOptions options) : options_(std::move(options)) {
-  // Each cluster of each process uses its own loopback addresses, so that no other process can have taken the
-  // port.
+  // Clusters get loopback addresses by process id and count, which seldom repeat, so that other processes
+  // hardly ever have the port.
   const int run = (getpid() * 7 + clusters_created++) % 62000;
   for (int i = 0; i < options_.nodes; ++i)
     addresses_.push_back(fmt::format("127.{}.{}.{}:7946", 1 + run / 250, 1 + run % 250, i + 1));
--- a/src/faults/cluster.h
+++ b/src/faults/cluster.h
@@ -30,8 +30,8 @@
   int sites = 3;   // node i is at site i modulo this
   int voters = 3;  // the first nodes
   std::uint64_t seed = 1;
-  // Settings of [fleet]; those in milliseconds are probe_every, probe_timeout, exchange_every, lease and
-  // site_hold.
+  // Settings of [fleet]. In the file the five in milliseconds are named probe_every, probe_timeout,
+  // exchange_every, lease and site_hold.
   int probe_interval_ms = 200;
   int probe_timeout_ms = 70;
   int exchange_interval_ms = 3000;
