--- a/tests/changes.h
+++ b/tests/changes.h
@@ -34,7 +34,7 @@
   Socket& socket() { return socket_; }
   // Sends one request and returns the answer; null where the connection failed or ended.
   Json Ask(const Json& request) { return AskLine(request.dump() + "\n"); }
-  // The same with a line of any text, which ends in a newline.
+  // Sends `line`, which may hold any text and must end in a newline, and returns the answer as Ask does.
   Json AskLine(const std::string& line) {
     if (!socket_.Write(line)) return {};
     std::string text;
@@ -79,7 +79,8 @@
            "\n[control]\nsocket = \"control.sock\"\n[change]\ntrial = " + settings["trial"] +
            "\nbefore = \"10s\"\n" + more;
   }
-  // Asks the node to apply the document; with `wait`, the answer comes once a running trial has ended.
+  // Asks the node to apply the document. During the trial of another change it is refused, or with `wait`
+  // queued until that trial has ended.
   Json Apply(const std::string& document, bool wait = false) {
     return ControlStandIn(node).Ask(
         {{"op", "apply"}, {"document", document}, {"author", "test"}, {"wait", wait}});
--- a/tests/complete_settings.h
+++ b/tests/complete_settings.h
@@ -32,7 +32,8 @@
     "telemetry": {"columns": ["x0", "x1"], "how": "inline"}})");
 }
 
-// JSON pointers to every key of these settings, of one class, and of the rest of the platform's file.
+// JSON pointers to every key of these settings, of the class with index 3 (the one that RuleChanges adds) and
+// of the rest of the platform's file.
 inline std::vector<std::string> RequiredKeyPaths() {
   std::vector<std::string> paths{"/name",           "/listen",       "/discovery",       "/seed",
                                  "/limits",         "/limits/cores", "/limits/disk_mb",  "/limits/memory_mb",
--- a/tests/duplicates.h
+++ b/tests/duplicates.h
@@ -70,7 +70,7 @@
     accepted_.push_back(id);
   }
 
-  // Numbers of messages, of which lost ones had neither a served call nor a notice, concurrent ones had two
+  // Numbers of accepted messages. Lost ones had neither a served call nor a notice, concurrent ones had two
   // calls at once, and repeated ones had a second call although an earlier one may have run.
   struct Evaluation {
     int accepted = 0, lost = 0, concurrent = 0, repeated = 0;
--- a/tests/fault_shim.cpp
+++ b/tests/fault_shim.cpp
@@ -1,7 +1,7 @@
 // Loaded into the built node by LD_PRELOAD: makes system calls fail as the FaultPlan in a mapped file says.
 //
 //   FAULT_SHIM_PLAN    path of the mapped file
-//   FAULT_SHIM_FOLDER  folder whose files fail
+//   FAULT_SHIM_FOLDER  folder in which opens and renames fail
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <signal.h>
@@ -45,7 +45,7 @@
   return reinterpret_cast<F>(dlsym(RTLD_NEXT, name));
 }
 
-// Whether this call is to fail with `error`, of which one in `interval` does; sets errno if so.
+// Whether this call is to fail with the errno in `error`, as one call in `interval` does; sets errno if so.
 bool ShouldFail(const std::atomic<int>& error, unsigned interval = 1) {
   static std::atomic<unsigned> calls{0};
   const int error_number = error.load();
--- a/tests/fleet/lease_explorer.h
+++ b/tests/fleet/lease_explorer.h
@@ -27,6 +27,8 @@
 // The worst clocks that the drift bound allows: the first holder's is slow, the other voters' are fast.
 constexpr std::array<double, kVoters> kRates = {1 - kDrift, 1 + kDrift, 1 + kDrift};
 
+// Faults put into the protocol: no allowance for clock drift; a restarted voter answers at once; late answers
+// count for the current round; a released lease is held on; a restarted voter has lost its promises.
 enum class Mutant { kNone, kNoDrift, kNoSilence, kNoRounds, kReleaseFirst, kForgetPromises };
 
 struct Message {
--- a/tests/fleet/lease_explorer_test.cpp
+++ b/tests/fleet/lease_explorer_test.cpp
@@ -1,4 +1,6 @@
 // Explores the lease protocol (lease_explorer.h) as it is, and with each mutant.
+//
+//   LEASE_STATES=N  explores N states of the protocol as it is; the default is 60000
 #include "lease_explorer.h"
 
 #include <gtest/gtest.h>
--- a/tests/kill_shim.cpp
+++ b/tests/kill_shim.cpp
@@ -1,6 +1,6 @@
-// Loaded into the built node by LD_PRELOAD: ends the process by SIGKILL before the n-th system call that
-// changes bytes, files or connections, counted from the first read that returns a given text. With it a test
-// forces a kill between any two steps that are visible from outside.
+// Loaded into the built node by LD_PRELOAD: ends the process by SIGKILL before the n-th step, counted from
+// the first read that returns a given text. Steps are reads and writes on files and sockets, connects and
+// renames. With it a test forces a kill between any two steps that are visible from outside.
 //
 //   KILL_SHIM_AFTER  the text
 //   KILL_SHIM_AT     n, from 1
--- a/tests/mapped_fault_plan.h
+++ b/tests/mapped_fault_plan.h
@@ -19,7 +19,7 @@
 // Owns the mapping of a fault plan; the file itself is left to the caller.
 class MappedFaultPlan {
  public:
-  // Creates `file`. The faults of files apply to paths that begin with `folder`.
+  // Creates `file`. Faults of open and rename apply only to paths that begin with `folder`.
   MappedFaultPlan(const std::string& file, std::string folder) : file_(file), folder_(std::move(folder)) {
     const int descriptor = open(file.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     EXPECT_EQ(ftruncate(descriptor, sizeof(FaultPlan)), 0);
--- a/tests/platform_stand_in.h
+++ b/tests/platform_stand_in.h
@@ -45,6 +45,7 @@
     server_.Stop();
   }
 
+  // An entry of the endpoint list. `dial` is the endpoint's address, `block` its destination.
   static nlohmann::json Member(const std::string& host, const std::string& dial, int block,
                                const std::string& health = "Ready") {
     return {{"host", host},   {"dial", dial},     {"site", "z"},  {"class", "m"},
@@ -103,6 +104,7 @@
     const auto it = first_notice_at_.find(id);
     return it == first_notice_at_.end() ? std::nullopt : std::optional(it->second);
   }
+  // Numbers since the start: watches opened, complete lists sent, posts of notices received.
   int watches() const { return watches_; }
   int whole_lists() const { return whole_lists_; }
   int notice_posts() const { return notice_posts_; }
--- a/tests/retry_after.h
+++ b/tests/retry_after.h
@@ -15,7 +15,7 @@
 using std::chrono::seconds;
 
 constexpr milliseconds kRetryAfter(1500);
-constexpr milliseconds kReadAllowance(100);  // calls this soon may precede the read of the answer
+constexpr milliseconds kReadAllowance(100);  // a call this soon may have left before the answer was read
 
 // The first call to either endpoint is answered by 429 with a Retry-After, all others by 200.
 class RetryAfterTest : public NodeTest {
@@ -43,6 +43,7 @@
     ASSERT_TRUE(EnqueueOnceListed("first", "c=unsafe,d=60000,dest=7"));
     ASSERT_TRUE(Eventually([&] { return retry_after_sent_.load(); }));
   }
+  // Enqueues a message every 40 ms for `span`, safe and unsafe ones in turn.
   void EnqueueFor(milliseconds span) {
     const auto end = Clock::now() + span;
     while (Clock::now() < end) {
@@ -51,6 +52,7 @@
       std::this_thread::sleep_for(milliseconds(40));
     }
   }
+  // Waits until the endpoints have had as many calls after the first as there are messages.
   bool AllAnswered() {
     return Eventually(
         [&] { return CallsSinceRetryAfter().size() >= static_cast<std::size_t>(enqueued_) + 1; });
--- a/tests/rule_changes.h
+++ b/tests/rule_changes.h
@@ -14,7 +14,7 @@
 
 using std::chrono::milliseconds;
 
-// The rules of the class kClass change; it may not be repeated at first.
+// The rules of the class kClass change; at first its messages may not be repeated.
 class RuleChanges : public NodeTest {
  protected:
   static constexpr const char* kClass = "notice";
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -36,7 +36,7 @@
 
 namespace indigosaddle::testing {
 
-// The built program as a child process. Its state folder is kept over restarts.
+// The built program as a child process ("the built node"). Its state folder is kept over restarts.
 class NodeProcess {
  public:
   explicit NodeProcess(std::string discovery) {
@@ -107,7 +107,7 @@
     return {WEXITSTATUS(pclose(out)), text};
   }
 
-  // Starts the node and waits until it serves; false if it ended instead. 0: no limit, no pending signal.
+  // Starts the node and waits until it serves; false if it ended. 0 means: no limit, no pending signal.
   bool Start(rlim_t descriptors = 0, int pending_signal = 0) {
     WriteConfig(raw_config ? *raw_config : config.dump());
     if (!toml.empty()) WriteToml(toml);
@@ -197,7 +197,7 @@
   nlohmann::json config;
   std::vector<std::string> extra_variables;  // "NAME=value", for its environment
   std::optional<std::string> raw_config;     // text of the file instead of `config`, if set
-  std::string toml, kill_at;                 // if toml is set, it replaces `config`
+  std::string toml, kill_at;                 // toml replaces `config` if set; kill_at: --kill-at
   int log_descriptor = -1;  // receives standard error instead of the log file, if not negative
   std::string folder;
   std::string shared_state;  // another process's state folder, if not empty
--- a/tests/stopped_node.h
+++ b/tests/stopped_node.h
@@ -1,5 +1,6 @@
 // Fixture of a built node that is stopped as the platform stops it, with stalls of the process and clients
-// that send a command slowly meanwhile. Every request counts, however close to the stop.
+// that send a command slowly meanwhile. A request that was written whole to an open connection must be
+// answered, however late in the stop.
 #pragma once
 
 #include <sys/socket.h>
--- a/tests/unusable_files.h
+++ b/tests/unusable_files.h
@@ -54,7 +54,7 @@
   void WaitUntilAfterSignal(milliseconds delay) const { std::this_thread::sleep_until(signal_at_ + delay); }
 
   bool Logged(const std::string& text) const { return node.log().find(text) != std::string::npos; }
-  // Whether a message of this class is not rejected as of an unknown class.
+  // Whether the node knows this class: it answers a message of an unknown class with an error.
   bool ClassKnown(const std::string& message_class) {
     const std::string id = message_class + std::to_string(++class_checks_);
     return !Enqueue(id, "c=" + message_class + ",d=8000,dest=99").starts_with("-ERR");
