--- a/tests/brain_completion_test.cpp
+++ b/tests/brain_completion_test.cpp
@@ -1,6 +1,6 @@
-// What still binds a message, its order key and its call around its end (docs/design/005): a final answer
-// that has not arrived yet, a call whose connection came up late, and a list of endpoints that may be
-// outdated.
+// What a message, its order key or its call must still wait for near the message's end (docs/design/005): a
+// final answer that has not arrived yet, a call whose connection came up late, and a list of endpoints that
+// may be outdated.
 #include <gtest/gtest.h>
 
 #include "test_node.h"
--- a/tests/brain_connection_trust_test.cpp
+++ b/tests/brain_connection_trust_test.cpp
@@ -93,7 +93,8 @@
       }
 }
 
-// Guards against a repeat beside a running call: a duplicate of an earlier refusal has ended that call.
+// Guards against a repeat beside a call that still runs: a duplicate of an earlier refusal was taken for its
+// answer.
 TEST(ConnectionTrust, AReusedConnectionIsKeptOnlyAfterADelivery) {
   for (const bool delivered : {true, false}) {
     ConnectionFacts facts = FactsIn(ConnectionState::kInLaterCall);
@@ -128,7 +129,7 @@
   EXPECT_TRUE(suspects.ReportUnsolicitedData("b", seconds(3)));
   EXPECT_TRUE(suspects.IsSuspect("c", seconds(3)));
   EXPECT_FALSE(suspects.ReportUnsolicitedData("c", seconds(3)));  // all were suspect before
-  SuspectEndpoints apart;                                         // each for a reason of its own
+  SuspectEndpoints apart;                                         // reports too far apart for a common cause
   EXPECT_FALSE(apart.ReportUnsolicitedData("a", seconds(1)));
   EXPECT_FALSE(apart.ReportUnsolicitedData("b", seconds(2) + SuspectEndpoints::kCommonCauseWindow));
   EXPECT_TRUE(apart.IsSuspect("a", seconds(40)));
--- a/tests/brain_fleet_return_test.cpp
+++ b/tests/brain_fleet_return_test.cpp
@@ -19,10 +19,10 @@
 class FleetReturn : public ::testing::TestWithParam<std::tuple<int, Outage, bool>> {};
 
 // Guards against senders that keep the slow-start budget each but exceed it together. The settings allow
-// N = overload_factor x present capacity x fall calls in a fall span, and 2 x sqrt(N) + 2 more are put down
-// to chance. Present capacity is what the destination can serve in the middle of the span: it rises from
-// cold_from of the limit at the return to all of it after `cold`. Every span, at steps of 100 ms, must stay
-// within that.
+// N = overload_factor x present capacity x fall calls in a span of the setting `fall`, and 2 x sqrt(N) + 2
+// more are put down to chance. Present capacity is what the destination can serve in the middle of the span:
+// it rises from cold_from of the limit at the return to all of it after `cold`. Every span, at steps of
+// 100 ms, must stay within that.
 TEST_P(FleetReturn, CallsOfAllSendersStayWithinTheSlowStartBudget) {
   const auto [nodes, outage, uneven] = GetParam();
   const Settings s = LargeFleetSettings();
--- a/tests/brain_fleet_test.cpp
+++ b/tests/brain_fleet_test.cpp
@@ -13,11 +13,12 @@
 constexpr int kSenders = 100;
 
 // Guards against senders whose retries keep the destination's limit in debt, so that it serves almost
-// nothing. Rate limiters that do not bind yet find a limit of 40 by one refusal each. This leaves a debt of
-// 0.6 s, which at the least rates of all senders, half of the limit, is paid in 1.2 s; a refused sender calls
-// again 0.5 to 1.5 tokens later, at 0.2 a second. So within 6 s of the first refusals more is served than
-// refused, and a third of what the limit bears. With the refused call counted, 0.7 a second from each kept
-// the debt up: 3 were served.
+// nothing. A sender's rate limiter does nothing before its first refusal, so the senders learn the limit of
+// 40 by one refusal each. This leaves the destination's bucket 0.6 s in debt. At their least rates all
+// senders together use half of the limit, so the debt is paid in 1.2 s; a refused sender calls again after
+// the time of 0.5 to 1.5 tokens, at 0.2 tokens a second. So within 6 s of the first refusals more calls are
+// served than refused, and a third of what the limit allows. When the refused call itself counted towards a
+// sender's rate, 0.7 calls a second from each sender kept up the debt: 3 calls were served.
 TEST(FleetLimit, RefusalsThatUseUpTheLimitDoNotKeepItInDebt) {
   SimulatedFleet fleet(kSenders, LargeFleetSettings(), {});
   fleet.Run(seconds(10), 44);
@@ -26,7 +27,7 @@
 }
 
 // Guards against too many calls to a cold destination, and against too few. It is down for 5 s, then cold:
-// what arrives in a fall span stays under twice the capacity at its middle (rule 4, no overload of a
+// what arrives in a span of `fall` stays under twice the capacity at its middle (rule 4, no overload of a
 // recovering destination), with a tenth for chance. The budgets of all senders add up to 0.8 of that. In the
 // first seconds an even part is about one call a span; a budget that counts whole calls against a fraction
 // lets only 211 pass in 4 s.
@@ -51,9 +52,10 @@
 }
 
 // Guards against rate limiters that stay low after a limit was lowered for a while. It is halved for 9 s
-// while 50 messages a second come: each sender learns it by one refusal, most by a second one. Once it is
-// raised again, each interval in which calls waited adds one step, even where served calls are rare, so that
-// within 6 s more is served than comes. With one step for each served call it was 29 a second after 6 s.
+// while 50 messages a second come: each sender needs one refusal to learn that, and most a second one. Once
+// the limit is raised again, each interval in which calls waited adds one step, even where served calls are
+// rare, so that within 6 s calls are served faster than messages come. With one step for each served call, 29
+// a second were served after 6 s.
 TEST(FleetLimit, ALoweredLimitIsLearnedAndUnlearnedSoon) {
   FleetScript script;
   script.rate = 60;
--- a/tests/brain_many_senders_test.cpp
+++ b/tests/brain_many_senders_test.cpp
@@ -42,14 +42,14 @@
   return failures;
 }
 
-// Guards against an outage taken for a full connection table: a vanished host fails connects too, and at
-// every sender three of those were put down to a full table, which broke rule 4 (no overload of a recovering
+// Guards against an outage taken for a full connection table: connects to a vanished host fail too, and every
+// sender put three such failures down to a full table, which broke rule 4 (no overload of a recovering
 // endpoint). Found by the benchmark scenario quiz-dk big-2.
 TEST(FullConnectionTable, OnlyAnImmediateConnectFailureCountsAsOneAndThePauseIsBounded) {
   EXPECT_LE(SendsWhileConnectsFail(seconds(1)), 3);
   const int fast = SendsWhileConnectsFail(milliseconds(20));
   EXPECT_GE(fast, 2);  // the pause after a full table is at most 2 s
-  EXPECT_LE(fast, 5);  // but it is not flooded
+  EXPECT_LE(fast, 5);  // but the endpoint is not flooded
 }
 
 // Guards against all senders calling in the instant in which a common Retry-After ends, when the destination
@@ -71,14 +71,14 @@
     });
     node.Run(kStart + milliseconds(40), kStart + seconds(60), [](const SendRecord&) { return Reply{}; });
     ASSERT_LE(node.CountSends(MessageId{1}), 2) << seed;
-    if (node.CountSends(MessageId{1}) < 2) continue;  // its part of what 200 may send is not earned yet
+    if (node.CountSends(MessageId{1}) < 2) continue;  // its part of what 200 may send is below one call
     const Micros after = node.sends.back().at - kStart - milliseconds(6020);
     EXPECT_GE(after, Micros(0));  // rule 6: Retry-After is heeded
     at_once += after <= milliseconds(500);
     ++came;
     delays.insert(after);
   }
-  EXPECT_LE(at_once * 5, came);  // at most a fifth of those that came
+  EXPECT_LE(at_once * 5, came);  // at most a fifth of the senders that called again
   EXPECT_GE(delays.size(), 25U);
 }
 
--- a/tests/brain_probe_test.cpp
+++ b/tests/brain_probe_test.cpp
@@ -135,7 +135,7 @@
   node.Turn(kStart + seconds(2), [&] {
     node.ReportOutcome(1, Result::kTimeout);
     for (MessageId id = 2; id <= 6; ++id)
-      node.Enqueue(id, 7, seconds(5));  // past their aim: they lose worth all the time
+      node.Enqueue(id, 7, seconds(5));  // past their aim, so that their worth keeps falling
   });
   ASSERT_EQ(node.sends.size(), 2U);     // one probe request
   EXPECT_EQ(node.sends.back().id, 1U);  // in 2 s it could no longer be sent
--- a/tests/brain_repeat_rules_test.cpp
+++ b/tests/brain_repeat_rules_test.cpp
@@ -25,6 +25,8 @@
 class RuleHistoryTest : public ::testing::Test {
  protected:
   void Begin(const RepeatRules& rules) { history.Begin(ClassWith(rules), kStart, PriorRules::kNone); }
+  // The rules of a message received at `at` with the time `left` to deliver it; `again`: its client enqueued
+  // it before; `key`: it has an idempotency key.
   RepeatRules RulesOf(Micros at, Micros left = kDeadline, bool again = false, bool key = true) const {
     return history.RulesFor("notice", {at, left, again, key}).rules;
   }
--- a/tests/brain_rules_order_test.cpp
+++ b/tests/brain_rules_order_test.cpp
@@ -19,7 +19,7 @@
   node.Turn(kStart, [&] {
     node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
     node.Enqueue(1, 7, seconds(20), "k");
-    node.Enqueue(2, 8, seconds(20), "k");  // the key binds across destinations
+    node.Enqueue(2, 8, seconds(20), "k");  // its key also waits across destinations
     node.Enqueue(3, 8, seconds(20), "other");
     node.Enqueue(4, 8, seconds(20), "");
   });
--- a/tests/brain_rules_recovery_test.cpp
+++ b/tests/brain_rules_recovery_test.cpp
@@ -68,7 +68,7 @@
 class RecoveryTest : public ::testing::TestWithParam<RecoveryCase> {};
 
 // Guards against an overload after an outage. A destination that served 4 messages a second is down for 9 s
-// while messages queue. After its return, the calls of any fall span must stay under the overload factor
+// while messages queue. After its return, the calls in any span of `fall` must stay under the overload factor
 // times what this sender's part of the destination can serve.
 TEST_P(RecoveryTest, LoadAfterAnOutageStaysWithinTheSlowStartBudget) {
   const RecoveryCase& c = GetParam();
--- a/tests/brain_rules_test.cpp
+++ b/tests/brain_rules_test.cpp
@@ -29,7 +29,7 @@
   ASSERT_EQ(node.CountSends(MessageId{1}), 1);
   EXPECT_LE(node.sends[0].timeout, seconds(1));  // cut to the time left
   node.Turn(kStart + seconds(1));
-  EXPECT_FALSE(node.Failed(1));  // the timeout, cut to this time, may still arrive
+  EXPECT_FALSE(node.Failed(1));  // the attempt times out at this instant: its outcome may still arrive
   node.Turn(kStart + seconds(1) + milliseconds(5));
   EXPECT_TRUE(node.Failed(1));
   node.Turn(kStart + seconds(1) + milliseconds(7));  // the attempt is still in flight: no second answer
--- a/tests/brain_scale_test.cpp
+++ b/tests/brain_scale_test.cpp
@@ -189,8 +189,8 @@
 
 // Guards against probe requests of many senders that overload a hung destination together, stop, or come in
 // step. Each of 300 senders holds one message. Their first attempts are made at once and hang for 8 s. The
-// probe requests after that stay within N + 3 x sqrt(N) + 3 in any fall span, where N is 2 x 0.25 x 2 calls a
-// second x 2 s.
+// probe requests after that stay within N + 3 x sqrt(N) + 3 in any span of `fall` (2 s), where N is 2 x 0.25
+// x 2 calls a second x 2 s.
 TEST(Probe, RequestsOfAllSendersStayWithinTheBudgetGoOnAndAreNotInStep) {
   std::multiset<Micros> probes;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
@@ -209,8 +209,8 @@
 
 // ---- Tenants' shares ----
 
-// Of the first 20 calls on one slot, those of the second tenant, where the first tenant sends `times` as
-// much.
+// How many of the first 20 calls on one slot are of the second tenant, where the first tenant has `times`
+// times as many messages.
 int CallsOfSecondTenant(int times) {
   Settings s = OneOfMany();
   s.call_slots = 1;
--- a/tests/brain_settings_test.cpp
+++ b/tests/brain_settings_test.cpp
@@ -84,7 +84,7 @@
   node.Run(seconds(7), seconds(20), [](const SendRecord&) { return Reply{}; });
   EXPECT_EQ(
       node.CountSends(1),
-      2);  // so long a Retry-After may have been an outage: a random delay more (rule 4, unsure means cold)
+      2);  // so long a Retry-After may mean an outage: one more random delay (rule 4, unsure means cold)
 }
 
 TEST_F(SettingsChange, NewClassIsUsedAndHeldMessagesKeepTheirClass) {
--- a/tests/brain_slow_start_test.cpp
+++ b/tests/brain_slow_start_test.cpp
@@ -34,8 +34,8 @@
 
 double Seconds(Micros span) { return std::chrono::duration<double>(span).count(); }
 
-// Calls that rule 4 allows in a fall span that begins `after` the return: the budget N and what is put down
-// to chance.
+// Calls that rule 4 allows in a span of the setting `fall` that begins `after` the return: the budget N and
+// what is put down to chance.
 double Allowed(const Settings& settings, double capacity, Micros after) {
   const double warming = Seconds(after + settings.fall / 2) / Seconds(settings.cold);
   const double share = std::min(1.0, settings.cold_from + (1 - settings.cold_from) * warming);
@@ -46,7 +46,8 @@
 // How far a run kept rule 4.
 struct Verdict {
   bool over_budget = false;  // some span got more calls than allowed
-  // Over two thirds of such a span's calls were from senders that had seen a call fail in the outage.
+  // The rule is broken: over two thirds of such a span's calls were from senders that had seen a call fail in
+  // the outage.
   bool broken = false;
   double served = 0;  // share of the capacity, from the return to the end of the cold time
   double worst = 0;   // calls beyond what is allowed, in the worst span
--- a/tests/brain_zone_test.cpp
+++ b/tests/brain_zone_test.cpp
@@ -54,7 +54,7 @@
   const int here = node.CountSends(lost, lost + seconds(2), "here");
   const int there = node.CountSends(lost, lost + seconds(2), "there");
   EXPECT_GT(here, here_before * 9 / 10);
-  EXPECT_LT(there, there_before / 2);  // from a quarter of its capacity up, over ten seconds
+  EXPECT_LT(there, there_before / 2);  // slow start: a quarter of its capacity, rising over ten seconds
   EXPECT_GT(there, 0);                 // it still gets calls, and served ones end slow start
   Run(lost + seconds(2), lost + seconds(14));
   EXPECT_GT(node.CountSends(lost + seconds(12), lost + seconds(14), "there"), there_before * 8 / 10);
--- a/tests/call_pool_duplicate_answer_test.cpp
+++ b/tests/call_pool_duplicate_answer_test.cpp
@@ -92,7 +92,8 @@
   EXPECT_EQ(RunUntilResult(), AttemptResult::kMalformedResponse);
 }
 
-// It does not make the endpoint suspect either: an endpoint that truncates its own answers duplicates none.
+// A partial duplicate does not make the endpoint suspect: an endpoint that truncates its own answers
+// duplicates none.
 TEST_F(DuplicateAnswers, APartialDuplicateCutOffByTheConnectionsEndIsNoDelivery) {
   Socket socket = StartCallOnReusedConnection();
   ASSERT_TRUE(socket.Write("HTTP/1.1 200 OK\r\nCont"));
--- a/tests/call_pool_results_test.cpp
+++ b/tests/call_pool_results_test.cpp
@@ -161,8 +161,8 @@
   EXPECT_EQ(RunUntilResult(), AttemptResult::kTimedOut);
 }
 
-// By this count a call is recorded as started within its turn, so it includes only quiet connections with no
-// unread data.
+// A call that gets one of the counted connections is recorded as started in the turn that decided it. So the
+// count includes only quiet connections with no unread data.
 TEST_F(CallPoolFixture, IdleCountIncludesOnlyReusableConnections) {
   const std::string dial = "127.0.0.1:" + std::to_string(port);
   EXPECT_EQ(pool.idle("s-1", dial), 0u);
--- a/tests/fleet/leases_test.cpp
+++ b/tests/fleet/leases_test.cpp
@@ -65,7 +65,8 @@
   voter.OnRecoveryReply("c", incomplete, persist);
   voter.OnRecoveryReply("stranger", complete, persist);
   voter.OnRecoveryReply("d", complete, persist);
-  EXPECT_TRUE(voter.Silent(seconds(100)));  // c and e may have promised more to a majority with this one
+  // c and e, which are a majority with this voter, may have promised a later ballot that b and d don't know.
+  EXPECT_TRUE(voter.Silent(seconds(100)));
   EXPECT_FALSE(persist);
   voter.OnRecoveryReply("e", complete, persist);
   EXPECT_FALSE(voter.Silent(seconds(100)));
--- a/tests/fleet/members_test.cpp
+++ b/tests/fleet/members_test.cpp
@@ -69,7 +69,7 @@
 TEST_F(MembersTest, ALaterProcessOfTheSameNameSupersedesThisOne) {
   members.Apply(Update("m0", Liveness::kAlive, 8), Micros(0));
   EXPECT_TRUE(members.superseded());
-  members.Apply(Update("m0", Liveness::kDead, 8), Micros(0));  // an old one: the start numbers began anew
+  members.Apply(Update("m0", Liveness::kDead, 8), Micros(0));  // from before the start numbers began anew
   EXPECT_FALSE(members.superseded());
   EXPECT_EQ(members.start(), 9u);
 }
--- a/tests/fleet/sites_test.cpp
+++ b/tests/fleet/sites_test.cpp
@@ -13,8 +13,11 @@
   SiteRules rules;
   SiteMonitor sites{rules};
   std::optional<SiteStatus> agreed;
+  // A site of four members, with eight members elsewhere: all four are seen and in contact, or none is, and
+  // `accusers` of the eight see none either.
   static SiteTally Well() { return {4, 4, 4, 0, 0, 8, 0}; }
   static SiteTally Gone(int accusers) { return {4, 0, 0, 0, 0, 8, accusers}; }
+  // Decides at `now` from the status agreed so far, and agrees on the result.
   SiteState At(Micros now, const SiteTally& tally) {
     agreed = sites.Decide("s", tally, agreed, now);
     return agreed->state;
--- a/tests/net_discovery_test.cpp
+++ b/tests/net_discovery_test.cpp
@@ -49,7 +49,8 @@
     EXPECT_EQ(pacing_without_cost.max_retry_delay, milliseconds(1000));
   }
   // An agent that answers at once gets a short response timeout. A slow discovery that serves many nodes
-  // must not get more requests for being slow: with 1.2 s, the fleet's herd-day score fell from 0.81 to 0.04.
+  // must not get more requests for being slow: with a timeout of 1.2 s there, the fleet's herd-day score fell
+  // from 0.81 to 0.04.
   EXPECT_EQ(RequestPacingFor(300, Micros(0)).response_timeout, milliseconds(1200));
   EXPECT_EQ(RequestPacingFor(300, seconds(10)).response_timeout, seconds(3));
   const RequestPacing small_fleet = RequestPacingFor(3, seconds(10));
--- a/tests/net_list_timing_test.cpp
+++ b/tests/net_list_timing_test.cpp
@@ -32,6 +32,8 @@
  protected:
   using Fault = std::function<void(Socket&)>;
 
+  // `fault` writes what the failing request gets, a watch or a list request. `pace` is by default that of a
+  // single node; with `known_version` the node starts with a list of that version.
   milliseconds TimeToNextUpdate(bool fault_in_watch, const Fault& fault, const net::RequestPacing& pace = {},
                                 std::optional<std::uint64_t> known_version = std::nullopt) {
     HttpServer server([&](Socket& socket, const HttpRequest& request) {
@@ -124,7 +126,7 @@
   EXPECT_LT(duration, kBound);
 }
 
-// Nor do lines within an object that is not complete.
+// Lines within a JSON object that never ends do not confirm the list either.
 TEST_F(ListTiming, AnIndentedObjectThatNeverEnds) {
   const auto duration = TimeToNextUpdate(true, [](Socket& s) {
     s.Write(kWatchHead + Chunk("{\n"));
--- a/tests/node_drains_test.cpp
+++ b/tests/node_drains_test.cpp
@@ -159,8 +159,8 @@
   ExpectNoCallsAfterGrace(changed_at + seconds(6));
 }
 
-// Guards against calls decided before a drain was read by a process that stalls for 0.15 s: the grace covers
-// that delay and no more.
+// Guards against calls that leave too late because they were decided before the drain was read, in a process
+// that stalls for 0.15 s: the grace covers that delay and no more.
 TEST_F(EndpointDrains, CallsStayWithinTheGraceWhenAStallCoincidesWithADrain) {
   ASSERT_TRUE(node.Start());
   for (int round = 0; round < 5; ++round) {
--- a/tests/node_kill_test.cpp
+++ b/tests/node_kill_test.cpp
@@ -39,7 +39,7 @@
     setenv("KILL_SHIM_TOLD", report_path.c_str(), 1);
     EXPECT_TRUE(node.Start());
     UnsetVariables();
-    Settle("listed-" + std::to_string(n));  // the list has arrived; this id does not contain the other
+    Settle("listed-" + std::to_string(n));  // the list has arrived; this id doesn't contain KILL_SHIM_AFTER
     KilledRun run;
     run.reply = Enqueue(id, fields);
     EXPECT_TRUE(Eventually([&] { return node.Ended() || done(); }));
--- a/tests/node_repeat_rules_test.cpp
+++ b/tests/node_repeat_rules_test.cpp
@@ -6,8 +6,9 @@
 // calls ended with an unknown result. Clients learn of the change about a second after the node, so messages
 // enqueued meanwhile, enqueued again later, or enqueued before a kill were written under the old rules. The
 // node looked the rules up by the name of the class in the settings in force when the message came or was
-// read from the journal. With an endpoint that breaks each call after its last byte, a message before the
-// change had one call and a failure; 0.4 s after the change it had eight calls and was returned.
+// read from the journal. With an endpoint that breaks each call after its last byte, a message enqueued
+// before the change had one call and failed; one enqueued 0.4 s after the change had eight calls and was
+// returned.
 #include <gtest/gtest.h>
 
 #include <thread>
--- a/tests/node_restart_test.cpp
+++ b/tests/node_restart_test.cpp
@@ -33,7 +33,7 @@
   ASSERT_TRUE(Eventually([&] { return draining.CallsFor("before") == 1; }));
   platform.Set(PlatformStandIn::Member("s-1", draining.address(), 7, "Terminating"));
   platform.Set(PlatformStandIn::Member("s-3", ready.address(), 9));
-  // Its acceptance shows that the change before it has arrived.
+  // Destination 9 is listed after the drain: once its message is accepted, the drain has arrived.
   ASSERT_TRUE(EnqueueOnceListed("told", "c=safe,d=60000,dest=9"));
   ASSERT_TRUE(Eventually([&] { return ready.CallsFor("told") == 1; }));
   ASSERT_EQ(Enqueue("after", "c=unsafe,d=500,dest=7"), "+OK");
--- a/tests/node_stop_test.cpp
+++ b/tests/node_stop_test.cpp
@@ -1,10 +1,10 @@
 // The planned stop of the built node: clients that connect while it closes its listener.
 //
-// About one soak in fifty beside other load lost a request. Its client had found its idle connection closed,
-// had connected again and sent a request, and was reset without an answer. Between the node's last accept and
-// the close of its listener the system completed one more connection, which the node's log never shows as
-// accepted. Also, a connection without a request yet was given up at once, and a request on it was read and
-// dropped. These tests widen both windows.
+// About one soak run in fifty, on a machine with other load, lost a request. Its client had found its idle
+// connection closed, had connected again and sent a request, and was reset without an answer. Between the
+// node's last accept and the close of its listener the system completed one more connection, which the
+// node's log never shows as accepted. Also, a connection without a request yet was given up at once, and a
+// request on it was read and dropped. These tests widen both windows.
 #include <gtest/gtest.h>
 
 #include <cerrno>
--- a/tests/node_unusable_files_test.cpp
+++ b/tests/node_unusable_files_test.cpp
@@ -15,8 +15,8 @@
 
 using Json = nlohmann::json;
 
-// Guards against the repetition of a call without an answer 7.3 s after the SIGHUP for a file that lacks a
-// key.
+// Guards against a repeat of a message whose call got no answer, 7.3 s after a SIGHUP with a file that lacks
+// a key.
 TEST_F(UnusableFiles, NothingIsSentAgainSevenSecondsAfterAFileWithoutAKey) {
   StartNode();
   Json next = LooserFile();
@@ -29,8 +29,8 @@
   EXPECT_TRUE(Logged("config.read taken=0 refused=1"));
 }
 
-// The same with a longer deadline in that file: messages would count as possibly older for 11 s, and from
-// then on as surely created under it.
+// The same with a longer deadline in that file. If it were accepted, messages would count as possibly created
+// before it for 11 s, and from then on as surely created under it.
 TEST_F(UnusableFiles, NothingIsSentAgainElevenSecondsAfterAFileWithoutAKey) {
   StartNode();
   Json next = LooserFile();
--- a/tests/state_damage_test.cpp
+++ b/tests/state_damage_test.cpp
@@ -78,7 +78,7 @@
   EXPECT_NE(ParseChanged(SampleMessage(1), last(2, 1)).error, "") << "order";
   EXPECT_NE(ParseChanged(SampleMessage(1), [](std::string& body) { body[0] = 7; }).error, "") << "kind";
   const AttemptHistory resumed{1, {4, true, seconds(2), 1}, ""};
-  const std::size_t behind = 4 + 8;  // the zone's name, the first run
+  const std::size_t behind = 4 + 8;  // bytes after the fields changed here: the zone's name, the first run
   EXPECT_NE(ParseChanged(resumed, last(2, behind + 1)).error, "") << "may have run";
   EXPECT_NE(ParseChanged(resumed, last('\xff', behind + 2)).error, "") << "attempts below 0";
   for (const Serial serial : {Serial{0}, ~Serial{0}})
@@ -98,8 +98,8 @@
   return next.All<TellMessage>().at(0).message;
 }
 
-// Guards against a second effect: a call of the message may be recorded behind the damage, and its end too.
-// Treated as never sent, the message would be sent again though it may not be repeated.
+// Guards against a second effect: a call of the message may be recorded after the damaged place, and its end
+// too. Treated as never sent, the message would be sent again though it may not be repeated.
 TEST(JournalDamage, MessagesBeforeTheDamageMayHaveRun) {
   ReducerDriver driver;
   const Serial serial = driver.Accept("a");
@@ -119,7 +119,8 @@
   }
 }
 
-// A call that waited for its connection may have started behind the damage, in another zone too.
+// Records after the damaged place may have told that a call which waited for its connection started, and that
+// later ones did in other zones.
 TEST(JournalDamage, CallThatWaitedForItsConnectionMayHaveRun) {
   ReducerDriver driver;
   driver.Send(driver.Accept("a"));
--- a/tests/state_list_update_test.cpp
+++ b/tests/state_list_update_test.cpp
@@ -10,6 +10,7 @@
 namespace indigosaddle::state {
 namespace {
 
+// The endpoints that the policy was told of since the last call, each as "id destination state".
 std::vector<std::string> ToldEntries(ReducerDriver& driver) {
   std::vector<std::string> all;
   for (const TellList& told : driver.TakeAll<TellList>()) {
--- a/tests/state_resumption_test.cpp
+++ b/tests/state_resumption_test.cpp
@@ -43,7 +43,7 @@
   EXPECT_EQ(past.at(turned_away).attempts, 1);
   EXPECT_FALSE(past.at(turned_away).may_have_run);
   EXPECT_EQ(past.at(out).attempts, 1);
-  EXPECT_TRUE(past.at(out).may_have_run);  // cut off: not known
+  EXPECT_TRUE(past.at(out).may_have_run);  // its call was cut off: not known whether it ran
   EXPECT_EQ(past.at(out).first_run, seconds(5));
   EXPECT_EQ(past.at(out).run_zone, 3);
   EXPECT_TRUE(past.at(error).may_have_run);
