--- a/src/brain.h
+++ b/src/brain.h
@@ -22,9 +22,9 @@
   virtual void Send(MessageId id, const EndpointId& endpoint, Micros timeout) = 0;
 
   // Gives the final answer that returns the message to its client: handing it in again is harmless, and
-  // advised not before `not_before` from now. True: the answer is delivered. False: it is on its way, and the
+  // advised once `retry_after` has passed. True: the answer is delivered. False: it is on its way, and the
   // host calls OnAnswerDelivered later.
-  virtual bool Refuse(MessageId id, Micros not_before, GiveUpCause cause) = 0;
+  virtual bool Refuse(MessageId id, Micros retry_after, GiveUpCause cause) = 0;
 
   // Gives the final answer that promises nothing about the message's effect. Returns as Refuse does.
   virtual bool Fail(MessageId id, GiveUpCause cause) = 0;
--- a/src/net/notices.cpp
+++ b/src/net/notices.cpp
@@ -25,9 +25,9 @@
   return nlohmann::ordered_json{{"id", id}, {"state", "failed"}}.dump();
 }
 
-std::string FormatReturnedNotice(const std::string& id, Micros not_before) {
+std::string FormatReturnedNotice(const std::string& id, Micros retry_after) {
   nlohmann::ordered_json line{{"id", id}, {"state", "returned"}};
-  const auto millis = std::chrono::ceil<std::chrono::milliseconds>(not_before).count();
+  const auto millis = std::chrono::ceil<std::chrono::milliseconds>(retry_after).count();
   if (millis > 0) line["after_ms"] = millis;
   return line.dump();
 }
--- a/src/net/notices.h
+++ b/src/net/notices.h
@@ -20,10 +20,10 @@
   std::string json;
 };
 
-// The JSON of a notice that the message with this id failed, or was returned. `not_before`: how long the
+// The JSON of a notice that the message with this id failed, or was returned. `retry_after`: how long the
 // client should wait before it sends the message again; zero: not reported.
 std::string FormatFailedNotice(const std::string& id);
-std::string FormatReturnedNotice(const std::string& id, Micros not_before);
+std::string FormatReturnedNotice(const std::string& id, Micros retry_after);
 
 // Sends batches of notices and repeats them after failures.
 class Notices {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -59,7 +59,7 @@
  private:
   // Host: decisions of the engine, which become events of the turn.
   void Send(MessageId id, const EndpointId& endpoint, Micros timeout) override;
-  bool Refuse(MessageId id, Micros not_before, GiveUpCause cause) override;
+  bool Refuse(MessageId id, Micros retry_after, GiveUpCause cause) override;
   bool Fail(MessageId id, GiveUpCause cause) override;
   void SetTimer(Micros at) override;
   void Watch() override;
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -152,7 +152,7 @@
   std::string line = "-ERR failed\r\n";
   if (effect.answer == state::Answer::kAccepted) line = "+OK\r\n";
   if (effect.answer == state::Answer::kBusy) {
-    const auto retry_after_ms = std::chrono::ceil<milliseconds>(effect.not_before).count();
+    const auto retry_after_ms = std::chrono::ceil<milliseconds>(effect.retry_after).count();
     line = retry_after_ms > 0 ? fmt::format("-BUSY {}\r\n", retry_after_ms) : "-BUSY\r\n";
   }
   if (effect.answer == state::Answer::kAccepted && effect.refusal == state::Refusal::kNone)
@@ -195,7 +195,7 @@
   std::vector<net::NoticeLine> lines;
   for (const state::Notice& notice : effect.notices) {
     lines.push_back({notice.serial, notice.end == state::MessageEnd::kReturned
-                                        ? net::FormatReturnedNotice(notice.id, notice.not_before)
+                                        ? net::FormatReturnedNotice(notice.id, notice.retry_after)
                                         : net::FormatFailedNotice(notice.id)});
   }
   notices_.Post(std::move(lines));
@@ -215,9 +215,9 @@
   const auto pending = state_.pending.find(serial);
   return pending == state_.pending.end() || RequiresFreshConnection(pending->second.message.rules);
 }
-bool Node::Refuse(MessageId id, Micros not_before, GiveUpCause cause) {
+bool Node::Refuse(MessageId id, Micros retry_after, GiveUpCause cause) {
   if (shadow_evaluation_) shadow_evaluation_->RecordRefused(id);
-  decisions_.emplace_back(state::ReturnRequested{id, not_before, cause});
+  decisions_.emplace_back(state::ReturnRequested{id, retry_after, cause});
   return HasWaitingClient(id);
 }
 bool Node::Fail(MessageId id, GiveUpCause cause) {
--- a/src/state/effects.h
+++ b/src/state/effects.h
@@ -115,7 +115,7 @@
   ClientRef client;
   Answer answer = Answer::kFailed;
   // With kBusy: how long the client should wait before it sends the message again; zero: not told.
-  Micros not_before{0};
+  Micros retry_after{0};
   // Of the message that is answered, for logs and counters.
   std::string id;
   std::string message_class;
@@ -143,7 +143,7 @@
   std::string id;
   MessageEnd end = MessageEnd::kFailed;
   // With kReturned: how long the client should wait before it sends the message again; zero: not told.
-  Micros not_before{0};
+  Micros retry_after{0};
 };
 
 // Post notices to the platform. Answered by NoticesAccepted, however long that takes.
--- a/src/state/events.h
+++ b/src/state/events.h
@@ -146,11 +146,11 @@
   bool connected = false;
 };
 
-// Return the message to its client, which may send it again once `not_before` has passed: a duration, as in
+// Return the message to its client, which may send it again once `retry_after` has passed, as in
 // Host::Refuse.
 struct ReturnRequested {
   Serial serial = 0;
-  Micros not_before{0};
+  Micros retry_after{0};
   GiveUpCause cause = GiveUpCause::kOutOfTime;
 };
 
--- a/src/state/journal.cpp
+++ b/src/state/journal.cpp
@@ -53,7 +53,7 @@
 void Put(Writer& w, const MessageEnded& r) {
   w.Unsigned(r.serial);
   w.Unsigned(static_cast<std::uint64_t>(r.end), 1);
-  w.Time(r.not_before);
+  w.Time(r.retry_after);
 }
 void Put(Writer& w, const NoticeAccepted& r) { w.Unsigned(r.serial); }
 void Put(Writer& w, const AttemptHistory& r) {
--- a/src/state/journal.h
+++ b/src/state/journal.h
@@ -67,7 +67,7 @@
   Serial serial = 0;
   MessageEnd end = MessageEnd::kNoNotice;
   // With kReturned: how long the client should wait before it sends the message again; zero: not told.
-  Micros not_before{0};
+  Micros retry_after{0};
 };
 
 // The platform has accepted the notice of a message.
--- a/src/state/journal_read.cpp
+++ b/src/state/journal_read.cpp
@@ -108,7 +108,7 @@
 void Get(Reader& in, MessageEnded& r) {
   r.serial = in.Number();
   r.end = in.Choice(MessageEnd::kReturned);
-  r.not_before = in.Time();
+  r.retry_after = in.Time();
 }
 void Get(Reader& in, NoticeAccepted& r) { r.serial = in.Number(); }
 void Get(Reader& in, AttemptHistory& r) {
--- a/src/state/record_applier.h
+++ b/src/state/record_applier.h
@@ -48,7 +48,7 @@
                                    ? 0
                                    : RecordSize(pending->message) + kReservedForLaterRecords);
     if (r.end != MessageEnd::kNoNotice) {
-      state_.notices[r.serial] = {r.serial, pending->message.id, r.end, r.not_before};
+      state_.notices[r.serial] = {r.serial, pending->message.id, r.end, r.retry_after};
     }
   }
   void operator()(const NoticeAccepted& r) {
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -166,7 +166,7 @@
                                               message.idempotency_key, message.body, e.timeout});
   }
 
-  void operator()(const ReturnRequested& e) { End(e.serial, MessageEnd::kReturned, e.not_before, e.cause); }
+  void operator()(const ReturnRequested& e) { End(e.serial, MessageEnd::kReturned, e.retry_after, e.cause); }
   void operator()(const FailRequested& e) { End(e.serial, MessageEnd::kFailed, Micros(0), e.cause); }
   void operator()(const TimerRequested& e) { effects_.emplace_back(ArmTimer{e.at}); }
   void operator()(const WatchRequested&) { effects_.emplace_back(RenewWatch{}); }
--- a/src/state/reducer_base.h
+++ b/src/state/reducer_base.h
@@ -93,32 +93,32 @@
   }
 
   // Answers one command, and remembers the answer of a message that is not accepted.
-  void ReplyTo(const ClientRef& client, Answer answer, Micros not_before, const AcceptedMessage& message,
+  void ReplyTo(const ClientRef& client, Answer answer, Micros retry_after, const AcceptedMessage& message,
                Refusal refusal, std::optional<GiveUpCause> cause = std::nullopt) {
     if (answer != Answer::kAccepted) state_.refusals.Add(message.id, answer, state_.last_command_at);
     effects_.emplace_back(
-        Reply{client, answer, not_before, message.id, message.message_class, refusal, cause});
+        Reply{client, answer, retry_after, message.id, message.message_class, refusal, cause});
   }
   // Answers the message's client, and the clients that sent the same command since.
-  void AnswerAll(const PendingMessage& pending, Answer answer, Micros not_before, Refusal refusal,
+  void AnswerAll(const PendingMessage& pending, Answer answer, Micros retry_after, Refusal refusal,
                  std::optional<GiveUpCause> cause = std::nullopt) {
-    ReplyTo(*pending.waiting_client, answer, not_before, pending.message, refusal, cause);
+    ReplyTo(*pending.waiting_client, answer, retry_after, pending.message, refusal, cause);
     for (const ClientRef& copy : pending.duplicates)
-      ReplyTo(copy, answer, not_before, pending.message, Refusal::kSameId, cause);
+      ReplyTo(copy, answer, retry_after, pending.message, Refusal::kSameId, cause);
   }
 
   // Gives the final answer: to the client while it waits, by a notice after that.
-  void End(Serial serial, MessageEnd end, Micros not_before, GiveUpCause cause) {
+  void End(Serial serial, MessageEnd end, Micros retry_after, GiveUpCause cause) {
     PendingMessage* pending = applier_.Find(serial);
     if (pending == nullptr || pending->ended) return;
     if (pending->waiting_client) {
-      AnswerAll(*pending, end == MessageEnd::kReturned ? Answer::kBusy : Answer::kFailed, not_before,
+      AnswerAll(*pending, end == MessageEnd::kReturned ? Answer::kBusy : Answer::kFailed, retry_after,
                 Refusal::kPolicy, cause);
       return Forget(serial);
     }
     ReportEnd(*pending, end == MessageEnd::kReturned ? MessageResult::kReturned : MessageResult::kFailed,
               cause);
-    StageRecord(MessageEnded{serial, end, not_before});
+    StageRecord(MessageEnded{serial, end, retry_after});
   }
 
   // Reports the end of an accepted message to the log.
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -106,8 +106,8 @@
  public:
   // Calls an endpoint for a message; the attempt may take until `timeout` has passed.
   void Send(std::int64_t node, MessageId id, std::string_view endpoint, Micros timeout);
-  // Returns a message to its client. `not_before` is how long the client should wait; zero says nothing.
-  void Refuse(std::int64_t node, MessageId id, Micros not_before);
+  // Returns a message to its client. `retry_after` is how long the client should wait; zero says nothing.
+  void Refuse(std::int64_t node, MessageId id, Micros retry_after);
   // Ends a message as failed.
   void Fail(std::int64_t node, MessageId id);
   // Cancels a running attempt.
--- a/src/wire/encoder.cpp
+++ b/src/wire/encoder.cpp
@@ -36,10 +36,10 @@
   text_.append(" endpoint=").append(endpoint).append(" cap=").append(FormatMillis(timeout)).append("\n");
 }
 
-void Encoder::Refuse(std::int64_t node, MessageId id, Micros not_before) {
+void Encoder::Refuse(std::int64_t node, MessageId id, Micros retry_after) {
   BeginAction(text_, "not_now", node);
   Append(text_, "opId", id);
-  if (not_before > Micros(0)) text_.append(" notBeforeFor=").append(FormatMillis(not_before));
+  if (retry_after > Micros(0)) text_.append(" notBeforeFor=").append(FormatMillis(retry_after));
   text_.append("\n");
 }
 
--- a/src/wirehost/wire_host.cpp
+++ b/src/wirehost/wire_host.cpp
@@ -17,8 +17,8 @@
   void Send(MessageId id, const EndpointId& endpoint, Micros timeout) override {
     encoder_.Send(node_, id, endpoint, timeout);
   }
-  bool Refuse(MessageId id, Micros not_before, GiveUpCause) override {
-    encoder_.Refuse(node_, id, not_before);
+  bool Refuse(MessageId id, Micros retry_after, GiveUpCause) override {
+    encoder_.Refuse(node_, id, retry_after);
     return true;
   }
   bool Fail(MessageId id, GiveUpCause) override {
--- a/tests/state_calls_test.cpp
+++ b/tests/state_calls_test.cpp
@@ -134,7 +134,7 @@
   ASSERT_EQ(posts[0].notices.size(), 2u);
   EXPECT_EQ(posts[0].notices[0].id, "a");
   EXPECT_EQ(posts[0].notices[0].end, MessageEnd::kReturned);
-  EXPECT_EQ(posts[0].notices[0].not_before, milliseconds(500));
+  EXPECT_EQ(posts[0].notices[0].retry_after, milliseconds(500));
   EXPECT_EQ(posts[0].notices[1].end, MessageEnd::kFailed);
   driver.EndTurn();
   EXPECT_TRUE(driver.All<PostNotices>().empty());  // one batch at a time
--- a/tests/state_journal_test.cpp
+++ b/tests/state_journal_test.cpp
@@ -96,7 +96,7 @@
   EXPECT_EQ(std::get<AttemptFinished>(read.records.at(2)).result, Result::kTimeout);
   EXPECT_TRUE(std::get<AttemptHistory>(read.records.at(3)).past.may_have_run);
   EXPECT_EQ(std::get<AttemptHistory>(read.records.at(3)).run_zone, "z-1");
-  EXPECT_EQ(std::get<MessageEnded>(read.records.at(4)).not_before, milliseconds(500));
+  EXPECT_EQ(std::get<MessageEnded>(read.records.at(4)).retry_after, milliseconds(500));
 }
 
 TEST(Journal, TornWriteLosesOnlyTheLastRecord) {
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -36,7 +36,7 @@
   const auto replies = driver.All<Reply>();
   ASSERT_EQ(replies.size(), 2u);
   EXPECT_EQ(replies[0].answer, Answer::kBusy);
-  EXPECT_EQ(replies[0].not_before, milliseconds(700));
+  EXPECT_EQ(replies[0].retry_after, milliseconds(700));
   EXPECT_EQ(replies[1].answer, Answer::kFailed);
   EXPECT_EQ(driver.writes, 0);
   EXPECT_TRUE(driver.All<PostNotices>().empty());
--- a/tests/test_node.h
+++ b/tests/test_node.h
@@ -172,10 +172,10 @@
     sends.push_back({id, endpoint, timeout, now_, false});
     ++attempts_[id];
   }
-  bool Refuse(MessageId id, Micros not_before, GiveUpCause cause) override {
+  bool Refuse(MessageId id, Micros retry_after, GiveUpCause cause) override {
     causes[id] = cause;
     ++answers[id];
-    refused[id] = not_before;
+    refused[id] = retry_after;
     return answers_at_once;
   }
   bool Fail(MessageId id, GiveUpCause cause) override {
