--- a/src/brain/repeat_rules.cpp
+++ b/src/brain/repeat_rules.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Clients follow new settings 1.2 s after the node; the rest is for a node or a client that was delayed.
-constexpr Micros kSenderSettingsDelay = std::chrono::seconds(3);
+constexpr Micros kClientSettingsDelay = std::chrono::seconds(3);
 constexpr std::size_t kMaxSpans = 16;  // per class: beyond that the oldest are merged
 
 Micros LongestDeadline(const std::vector<RuleSpan>& spans) {
@@ -20,7 +20,7 @@
 
 // Whether a client may have created a message under this span at `created_at` or later.
 bool MayApply(const RuleSpan& span, Micros created_at) {
-  return InForce(span) || span.until + kSenderSettingsDelay > created_at;
+  return InForce(span) || span.until + kClientSettingsDelay > created_at;
 }
 
 // The greatest age that the message can have when its command arrives. Where its time left says nothing, any
