--- a/src/brain/scheduler.h
+++ b/src/brain/scheduler.h
@@ -18,13 +18,13 @@
 constexpr Micros kAvoidIdleFor = seconds(10);  // time after that in which no long idle connection is used
 constexpr double kKeepIdlePerPrice = 100;      // seconds that an idle one is kept per unit of price_handshake
 // Least rate in calls a second, of all senders, that WorthKeepingIdle assumes for an endpoint.
-constexpr double kSharedTableRate = 4;
+constexpr double kMinAssumedCallRate = 4;
 // Share of new connections that fail at once: above the first the endpoints' connection tables count as full.
 // The share is a moving average, in which the newest connection has the second as its weight if it failed at
 // once, and the third if not.
 constexpr double kTableFullShare = 0.05;
-constexpr double kTableFullRise = 0.1;
-constexpr double kTableFullFall = 0.005;
+constexpr double kTableFullFailureWeight = 0.1;
+constexpr double kTableFullOtherWeight = 0.005;
 
 // Sends waiting messages.
 struct Scheduler : FinalAnswers {
@@ -37,7 +37,7 @@
   // Whether an idle connection is likely to be used before it costs more than a new one.
   bool WorthKeepingIdle(const EndpointRecord& record) const {
     const double keep = kKeepIdlePerPrice * set_.price_handshake;  // 0: no reason to close one
-    return keep <= 0 || std::max(record.call_rate.Now(now_), kSharedTableRate / set_.senders) * keep >= 1;
+    return keep <= 0 || std::max(record.call_rate.Now(now_), kMinAssumedCallRate / set_.senders) * keep >= 1;
   }
 
   // Whether idle connections of all senders seem to fill the connection tables of the endpoint's kind. If so,
@@ -56,7 +56,7 @@
       double& share = table_full_share_[record.endpoint.kind];
       const bool full = was_healthy && result == Result::kNoConnection && outcome.latency < kRetryGap;
       if (full && share <= kTableFullShare) sweep_due_ = now_;  // closes the idle ones there at once
-      share += (full ? kTableFullRise : kTableFullFall) * (full - share);
+      share += (full ? kTableFullFailureWeight : kTableFullOtherWeight) * (full - share);
       // The share falls slowly: connections closed after use make the tables look free, though they fill
       // again once connections are kept.
     } else if (lost && call.idle_for >= kRetryGap) {
