--- a/src/brain/priority.h
+++ b/src/brain/priority.h
@@ -10,7 +10,7 @@
 // Least part of key_ttl left at a repeat: the process may be delayed for 0.15 s between reading its clock and
 // writing the call.
 constexpr Micros kLeastKeyLifeLeft = milliseconds(200);
-constexpr int kFreeRepeats =
+constexpr int kUnpenalizedAttempts =
     3;  // attempts that don't lower the priority of a message that may have run already or is safe to repeat
 
 // Ranks messages.
@@ -53,11 +53,11 @@
   }
 
   // Priority for call slots and tokens: the worth lost by waiting for one aim, halved for each attempt beyond
-  // the free ones.
+  // the unpenalized ones.
   double PriorityOf(const HeldMessage& held) const {
     const double loss = Worth(held, Micros(0)) - Worth(held, held.class_settings->aim);
     const bool risked = held.message.past.may_have_run || held.message.rules.effect == Effect::kSafe;
-    return std::ldexp(loss, -std::max(0, held.message.past.attempts - (risked ? kFreeRepeats : 0)));
+    return std::ldexp(loss, -std::max(0, held.message.past.attempts - (risked ? kUnpenalizedAttempts : 0)));
   }
 };
 
