--- a/src/brain/outcomes.h
+++ b/src/brain/outcomes.h
@@ -5,8 +5,8 @@
 
 namespace indigosaddle::brain {
 
-constexpr double kLatencyWeight = 0.15;  // weight of the newest call in the latency figures
-constexpr double kLimitInUse = 0.8;      // a limit is in use when less than this share of it is left
+constexpr double kLatencyWeight = 0.15;   // weight of the newest call in the latency figures
+constexpr double kLimitInUseBelow = 0.8;  // a limit is in use when less than this share of it is left
 // Most explained failures in a row that are no outage. For a limit or a full connection table it is 1.
 constexpr int kMaxExplainedRun = 3;
 constexpr int kNotSentRun = 3;  // calls in a row that this node did not begin: it is short of something
@@ -70,7 +70,8 @@
   void UpdateEndpointHealth(const Call& call, EndpointRecord& record, RateScope& scope,
                             const Outcome& outcome) {
     const Result result = outcome.result;
-    const bool in_use = outcome.load.limit > 0 && outcome.load.left >= 0 && outcome.load.left < kLimitInUse;
+    const bool in_use =
+        outcome.load.limit > 0 && outcome.load.left >= 0 && outcome.load.left < kLimitInUseBelow;
     const bool limit = result == Result::kRefused && in_use;
     const bool idle_closed = call.idle_for > Micros(0) && result == Result::kReset;
     const bool table_full =
--- a/src/brain/slow_start.h
+++ b/src/brain/slow_start.h
@@ -19,7 +19,7 @@
 constexpr double kByDemand = 0.2;  // part of the budget that is shared by demand; the rest is shared evenly
 constexpr double kByDemandUnknownLimit = 0.9;  // the same where no limit is told and little is certain
 // The mean of the senders' sum, and so many standard deviations of it, stay within Allowed.
-constexpr double kDeviations = 4;
+constexpr double kBudgetDeviations = 4;
 constexpr double kSteadyVariance = 0.25;  // variance of a count that varies by one
 // Calls in Settings::fall; below it rule 4 allows more for chance. Assumed as the budget where no limit is
 // told.
@@ -72,8 +72,9 @@
   double BudgetShare(double budget) const {
     const double allowed = Allowed(budget);
     const double steady = set_.senders * kSteadyVariance;
-    const double root = std::sqrt(allowed + kDeviations * kDeviations / 4) - kDeviations / 2;
-    const double mean = root * root <= steady ? root * root : allowed - kDeviations * std::sqrt(steady);
+    const double root =
+        std::sqrt(allowed + kBudgetDeviations * kBudgetDeviations / 4) - kBudgetDeviations / 2;
+    const double mean = root * root <= steady ? root * root : allowed - kBudgetDeviations * std::sqrt(steady);
     return std::min(1.0, mean / budget);
   }
 
