--- a/src/brain/final_answers.h
+++ b/src/brain/final_answers.h
@@ -23,7 +23,7 @@
     waiting_due_.erase({held.due, id}), in_flight_due_.erase({held.due, id});
     held.destination->waiting.erase(by_deadline);
     if (held.destination->waiting.empty()) waiting_destinations_.erase(held.message.destination);
-    if (std::exchange(held.refusable, false)) {
+    if (std::exchange(held.in_eviction_queue, false)) {
       EvictionQueueOf(held).by_deadline.erase(newest_first);
       EvictionQueueOf(held).by_id.erase(id);
     }
@@ -35,7 +35,7 @@
     held.destination->waiting.emplace(by_deadline, &held);
     waiting_destinations_.emplace(held.message.destination, held.destination);
     to_check_.insert(id);
-    if (!(held.refusable = MayRefuse(held))) return;
+    if (!(held.in_eviction_queue = MayRefuse(held))) return;
     EvictionQueueOf(held).by_deadline.emplace(newest_first, &held),
         EvictionQueueOf(held).by_id.emplace(id, &held);
   }
--- a/src/brain/outcomes.h
+++ b/src/brain/outcomes.h
@@ -45,8 +45,8 @@
     NoteNotSent(record, result);
     if (outcome.load.limit > 0) scope.reported_limit = outcome.load.limit;
     if (result == Result::kRefused || outcome.wait > Micros(0)) Pause(*call.destination, scope, outcome.wait);
-    if (call.judged || result == Result::kNotSent || result == Result::kCancelled) return;
-    call.judged = true;  // all messages of a call have one result
+    if (call.result_applied || result == Result::kNotSent || result == Result::kCancelled) return;
+    call.result_applied = true;  // all messages of a call have one result
     if (result == Result::kRefused) Decrease(scope);
     NoteConnection(call, record, outcome, scope.health.consecutive_failures == 0);
     UpdateEndpointHealth(call, record, scope, outcome);
--- a/src/brain/records.h
+++ b/src/brain/records.h
@@ -148,10 +148,10 @@
   Destination* destination = nullptr;
   EndpointId endpoint;
   Micros sent{0};
-  Micros idle_for{0};        // how long its connection had been idle; zero: a new connection
-  int pending_outcomes = 0;  // messages whose outcome is not known yet
-  int messages = 0;          // in all
-  bool judged = false;       // its result was applied to the endpoint; once for all its messages
+  Micros idle_for{0};           // how long its connection had been idle; zero: a new connection
+  int pending_outcomes = 0;     // messages whose outcome is not known yet
+  int messages = 0;             // in all
+  bool result_applied = false;  // to the endpoint; once for all its messages
 };
 
 // A message that the engine holds.
@@ -165,9 +165,9 @@
   bool answer_pending = false;  // that answer has not arrived yet
   int timeouts = 0;             // attempts that timed out
   std::uint64_t call_number = 0;
-  Micros due{0};           // its key in waiting_due_ or in_flight_due_
-  bool refusable = false;  // it is in eviction_queues_
-  bool ordered = false;    // it is in its key's order
+  Micros due{0};  // its key in waiting_due_ or in_flight_due_
+  bool in_eviction_queue = false;
+  bool ordered = false;  // it is in its key's order
 };
 
 // The messages that may be returned to their clients, of one class and on one side of the tenants' shares.
