--- a/src/brain/brain.cpp
+++ b/src/brain/brain.cpp
@@ -155,7 +155,7 @@
       watch_due_ = Micros::max();
       host_->Watch();
     }
-    turn_from_call_ = last_call_;
+    last_call_before_turn_ = last_call_;
     for (MessageId id : std::exchange(finished_, {})) {
       --held_.at(id).destination->held;
       held_.erase(id);
--- a/src/brain/scheduler.h
+++ b/src/brain/scheduler.h
@@ -98,7 +98,7 @@
 
   // A call opened in this turn that can carry one more message, which takes no slot and no token. Null: none.
   Call* OpenCall(const EndpointRecord& record) {
-    auto it = record.last_call > turn_from_call_ ? calls_.find(record.last_call) : calls_.end();
+    auto it = record.last_call > last_call_before_turn_ ? calls_.find(record.last_call) : calls_.end();
     return it != calls_.end() && it->second.messages < record.kind.per_call ? &it->second : nullptr;
   }
 
--- a/src/brain/state.h
+++ b/src/brain/state.h
@@ -65,16 +65,16 @@
   ClassSettings unknown_class_;  // for messages whose class has no settings; worth nothing
   Host* host_ = nullptr;
   Micros now_{0};
-  Micros stop_at_{Micros::max()};        // the process ends then
-  Micros timer_{Micros::max()};          // latest timer asked of the host
-  Micros watch_due_{Micros::max()};      // next subscription to the list
-  Micros sweep_due_{Micros::min()};      // next removal of unused state
-  Micros outdated_from_{Micros::max()};  // from then on the list may be outdated
-  bool list_received_ = false;           // with at least one entry
-  int open_messages_ = 0;                // without a final answer
-  int stale_losses_ = 0;                 // calls lost on idle connections, less those answered
-  std::uint64_t last_call_ = 0;          // number of the latest call
-  std::uint64_t turn_from_call_ = 0;     // calls with higher numbers were opened in this turn
+  Micros stop_at_{Micros::max()};            // the process ends then
+  Micros timer_{Micros::max()};              // latest timer asked of the host
+  Micros watch_due_{Micros::max()};          // next subscription to the list
+  Micros sweep_due_{Micros::min()};          // next removal of unused state
+  Micros outdated_from_{Micros::max()};      // from then on the list may be outdated
+  bool list_received_ = false;               // with at least one entry
+  int open_messages_ = 0;                    // without a final answer
+  int stale_losses_ = 0;                     // calls lost on idle connections, less those answered
+  std::uint64_t last_call_ = 0;              // number of the latest call
+  std::uint64_t last_call_before_turn_ = 0;  // calls with higher numbers were opened in this turn
   std::map<MessageId, HeldMessage> held_;
   std::set<std::pair<Micros, MessageId>> waiting_due_;    // when waiting messages must be checked
   std::set<std::pair<Micros, MessageId>> in_flight_due_;  // when messages in flight must be checked
