--- a/src/brain/brain.cpp
+++ b/src/brain/brain.cpp
@@ -169,7 +169,7 @@
           (ConnectionTableFull(*record) || !WorthKeepingIdle(*record)))
         Close(*record);
     }
-    if (now_ >= sweep_due_) ForgetIdle();
+    if (now_ >= sweep_due_) RemoveUnusedState();
     ArmTimer();
   }
 
@@ -204,7 +204,7 @@
   }
 
   // Removes state that is no longer used, and closes idle connections where connection tables are full.
-  void ForgetIdle() {
+  void RemoveUnusedState() {
     sweep_due_ = now_ + kSweepEvery;
     std::erase_if(keys_, [&](auto& k) { return k.second.order.empty() && k.second.blocked_until <= now_; });
     for (auto& [id, destination] : destinations_) {
