--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -21,8 +21,8 @@
 
 // Reads a field that must be one of the given words; `absent` if it is missing.
 template <typename T>
-T Word(const Fields& fields, const std::string& name, T absent,
-       std::initializer_list<std::pair<std::string_view, T>> words) {
+T ReadEnum(const Fields& fields, const std::string& name, T absent,
+           std::initializer_list<std::pair<std::string_view, T>> words) {
   const auto text = fields.Find(name);
   if (!text) return absent;
   std::string known;
@@ -46,12 +46,12 @@
   settings.late_value = fields.Number(prefix + "lateValue", 0);
   settings.aim = fields.Time(prefix + "aim", Micros(0));
   settings.deadline = fields.Time(prefix + "deadline", Micros(0));
-  settings.effect = Word<Effect>(fields, prefix + "effect", Effect::kUnsafe,
-                                 {{"read_like", Effect::kSafe},
-                                  {"idempotency_key", Effect::kKeyed},
-                                  {"non_idempotent", Effect::kUnsafe}});
-  settings.group = Word<Group>(fields, prefix + "group", Group::kCell,
-                               {{"all", Group::kAll}, {"zone", Group::kZone}, {"cell", Group::kCell}});
+  settings.effect = ReadEnum<Effect>(fields, prefix + "effect", Effect::kUnsafe,
+                                     {{"read_like", Effect::kSafe},
+                                      {"idempotency_key", Effect::kKeyed},
+                                      {"non_idempotent", Effect::kUnsafe}});
+  settings.group = ReadEnum<Group>(fields, prefix + "group", Group::kCell,
+                                   {{"all", Group::kAll}, {"zone", Group::kZone}, {"cell", Group::kCell}});
   settings.key_ttl = fields.Time(prefix + "keyTtl", Micros(0));
   settings.sequential = fields.Flag(prefix + "sequential", false);
   return settings;
@@ -68,16 +68,16 @@
   settings.max_open = Int(fields, "caps.maxOpen");
   settings.max_attempts = Int(fields, "caps.attemptsCap");
   settings.discovery =
-      Word<Discovery>(fields, "discovery", Discovery::kPushed,
-                      {{"pushed", Discovery::kPushed}, {"on_request", Discovery::kOnRequest}});
-  settings.weights = Word<Weights>(fields, "weightKind", Weights::kNone,
-                                   {{"off", Weights::kNone},
-                                    {"nominal", Weights::kNominal},
-                                    {"rough", Weights::kRough},
-                                    {"live", Weights::kNone}});
+      ReadEnum<Discovery>(fields, "discovery", Discovery::kPushed,
+                          {{"pushed", Discovery::kPushed}, {"on_request", Discovery::kOnRequest}});
+  settings.weights = ReadEnum<Weights>(fields, "weightKind", Weights::kNone,
+                                       {{"off", Weights::kNone},
+                                        {"nominal", Weights::kNominal},
+                                        {"rough", Weights::kRough},
+                                        {"live", Weights::kNone}});
   settings.retry_advice = fields.Flag("caps.retryAfter", true);
-  settings.decay = Word<Decay>(fields, "familyInfo.decay", Decay::kEven,
-                               {{"even", Decay::kEven}, {"by_half", Decay::kByHalf}});
+  settings.decay = ReadEnum<Decay>(fields, "familyInfo.decay", Decay::kEven,
+                                   {{"even", Decay::kEven}, {"by_half", Decay::kByHalf}});
   settings.over_share_worth = fields.Number("overShareWorth", 1);
   settings.price_cross_zone = fields.Number("prices.crossZone", 0);
   settings.price_handshake = fields.Number("prices.handshake", 0);
