--- a/src/brain/token_bucket.h
+++ b/src/brain/token_bucket.h
@@ -6,8 +6,9 @@
 
 namespace indigosaddle::brain {
 
-constexpr double kDecreaseFactor =
-    0.7;  // share of the rate kept at a refusal: the default given where the AIMD algorithm comes from
+// Share of the rate kept at a refusal: the default in Nikiforov's Nall.RateLimiting.Adaptive, from which the
+// AIMD rate comes.
+constexpr double kDecreaseFactor = 0.7;
 // Minimum and step of the rate, as shares of the believed limit, before the division among senders.
 constexpr double kMinShare = 0.5;
 constexpr double kStepShare = 0.1;
