--- a/src/state/attempt_result.h
+++ b/src/state/attempt_result.h
@@ -1,4 +1,4 @@
-// Every way in which a call can end, as one value, and the one place that maps it to the delivery policy's
+// Every way in which a call can end, as one value, and the one place that maps it to the decision engine's
 // result (src/brain.h).
 #pragma once
 
--- a/src/state/effects.h
+++ b/src/state/effects.h
@@ -1,5 +1,5 @@
 // The effects that the reducer asks for (src/state/reducer.h), carried out by src/node/node_turn.cpp. An
-// effect owns all that it carries. Each Tell* effect is passed on to the delivery policy (src/brain.h).
+// effect owns all that it carries. Each Tell* effect is passed on to the decision engine (src/brain.h).
 #pragma once
 
 #include <cstdint>
@@ -102,7 +102,7 @@
   kNoRoom,
   // The journal could not be written.
   kNotWritten,
-  // The delivery policy returned or failed it in the turn in which it came.
+  // The decision engine returned or failed it in the turn in which it came.
   kPolicy,
   // Intake is closed.
   kStopping
--- a/src/state/events.h
+++ b/src/state/events.h
@@ -1,5 +1,5 @@
 // The events that the reducer handles (src/state/reducer.h). An event is a plain value: it owns all that it
-// carries. "The delivery policy" is the decision engine, src/brain.h.
+// carries. The decision engine is src/brain.h; some names and texts call it the delivery policy.
 #pragma once
 
 #include <cstdint>
@@ -28,7 +28,7 @@
 
 // An entry of discovery's list.
 struct ListedEndpoint {
-  // What the delivery policy needs to know of it.
+  // What the decision engine needs to know of it.
   Endpoint endpoint;
   // The address that calls connect to.
   std::string dial;
@@ -132,7 +132,7 @@
   Serial serial = 0;
 };
 
-// The six events from here to CloseIdleRequested are decisions of the delivery policy.
+// The six events from here to CloseIdleRequested are decisions of the decision engine.
 
 // Start an attempt.
 struct SendRequested {
--- a/src/state/journal.h
+++ b/src/state/journal.h
@@ -14,7 +14,7 @@
 
 namespace indigosaddle::state {
 
-// A message's number in this node, which is also its MessageId in the delivery policy. Serials begin at 1.
+// A message's number in this node, which is also its MessageId in the decision engine. Serials begin at 1.
 using Serial = std::uint64_t;
 
 // A message was accepted. Id, keys and body are kept byte for byte as they came.
--- a/src/state/list_update.h
+++ b/src/state/list_update.h
@@ -1,4 +1,4 @@
-// Applies an update of discovery's list to the known endpoints: what the delivery policy is told of it, and
+// Applies an update of discovery's list to the known endpoints: what the decision engine is told of it, and
 // which endpoints' idle connections are closed. A part of src/state/reducer.cpp.
 #pragma once
 
@@ -13,7 +13,7 @@
 // The known endpoints.
 using EndpointsById = std::map<EndpointId, ListedEndpoint>;
 
-// The delivery policy keeps endpoints by destination: an endpoint that has another destination now is
+// The decision engine keeps endpoints by destination: an endpoint that has another destination now is
 // reported as gone from the old one first.
 inline void AddGoneFromOldDestination(const EndpointsById& listed, const Endpoint& now,
                                       TellList& policy_update) {
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -44,7 +44,7 @@
         effects_.emplace_back(
             MessageResumed{message.id, message.destination, message.rules, pending.past, message.deadline});
       }
-      // Of ended messages the delivery policy is told only those whose order key waits for the notice.
+      // Of ended messages the decision engine is told only those whose order key waits for the notice.
       if (!pending.ended || (state_.notices.contains(serial) && !pending.message.order_key.empty()))
         effects_.emplace_back(TellMessage{ToPolicyMessage(pending)});
       applier_.RemoveIfDone(serial);
@@ -214,7 +214,7 @@
       const PendingMessage& pending = state_.pending.at(serial);
       AnswerAll(pending, Answer::kBusy, Micros(0), Refusal::kNotWritten);
       effects_.emplace_back(TellWithdrawn{serial});
-      // The delivery policy is told that an attempt of this turn has ended before its message is removed.
+      // The decision engine is told that an attempt of this turn has ended before its message is removed.
       if (state_.pending.at(serial).in_flight)
         (*this)(CallEnded{serial, AttemptResult::kNotStarted, Micros(0), Micros(0), {}});
       Forget(serial);
--- a/src/state/reducer_base.h
+++ b/src/state/reducer_base.h
@@ -55,7 +55,7 @@
     state_.completed.LimitTo(std::min(left, state_.limits.journal_bytes * kCompletedJournalPercent / 100));
   }
 
-  // The message as the delivery policy sees it.
+  // The message as the decision engine sees it.
   Message ToPolicyMessage(const PendingMessage& pending) const {
     Message message;
     message.id = pending.message.serial;
--- a/tests/node_shadow_evaluation_test.cpp
+++ b/tests/node_shadow_evaluation_test.cpp
@@ -17,13 +17,13 @@
 
 constexpr Micros kStart = seconds(100);
 
-// A delivery policy with a shadow evaluation, both fed the same events as in the node.
+// A decision engine with a shadow evaluation, both fed the same events as in the node.
 class ShadowedNode : public TestNode {
  public:
   ShadowedNode(const Settings& settings, const ShadowSettings& shadow_settings)
       : TestNode(settings), shadow(shadow_settings, settings) {}
 
-  // Runs a turn with the events on both, and reports the policy's decisions to the evaluation.
+  // Runs a turn with the events on both, and reports the engine's decisions to the evaluation.
   void RunTurn(Micros now, const std::function<void(ShadowEvaluation&)>& events) {
     now_ = now;
     shadow.OnTurnStart(now);
@@ -78,7 +78,7 @@
   Micros now_{0};
 };
 
-// Runs a random history, from the seed, on the policy and the evaluation.
+// Runs a random history, from the seed, on the engine and the evaluation.
 void PlayRandomHistory(ShadowedNode& node, std::uint32_t seed) {
   std::mt19937 random(seed);
   MessageId id = 0;
--- a/tests/state_damage_test.cpp
+++ b/tests/state_damage_test.cpp
@@ -88,7 +88,7 @@
         "");
 }
 
-// The first message of a recovered journal, as the delivery policy is told of it.
+// The first message of a recovered journal, as the decision engine is told of it.
 Message ResumedMessage(const ParsedJournal& read) {
   ReducerDriver next;
   Recovered recovered;
--- a/tests/state_list_update_test.cpp
+++ b/tests/state_list_update_test.cpp
@@ -1,4 +1,4 @@
-// List updates with unreadable entries, and endpoints that change their destination: what the delivery policy
+// List updates with unreadable entries, and endpoints that change their destination: what the decision engine
 // is told.
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 namespace indigosaddle::state {
 namespace {
 
-// The endpoints that the policy was told of since the last call, each as "id destination state".
+// The endpoints that the engine was told of since the last call, each as "id destination state".
 std::vector<std::string> ToldEntries(ReducerDriver& driver) {
   std::vector<std::string> all;
   for (const TellList& told : driver.TakeAll<TellList>()) {
@@ -46,7 +46,7 @@
   EXPECT_EQ(driver.state.endpoints.count("s-1"), 0u);
 }
 
-// Guards against calls for the old destination: told of the new destination alone, the delivery policy kept
+// Guards against calls for the old destination: told of the new destination alone, the decision engine kept
 // the endpoint ready for the old one's messages too.
 TEST(PartialListUpdate, EndpointThatChangesItsDestinationIsGoneFromTheOldOne) {
   ReducerDriver driver;
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -1,4 +1,4 @@
-// The reducer: what it tells the delivery policy, answers to clients, records and starts.
+// The reducer: what it tells the decision engine, answers to clients, records and starts.
 #include <gtest/gtest.h>
 
 #include <algorithm>
