--- a/src/state/effects.h
+++ b/src/state/effects.h
@@ -1,5 +1,5 @@
 // The effects that the reducer asks for (src/state/reducer.h), carried out by src/node/node_turn.cpp. An
-// effect owns all that it carries. Each Tell* effect is passed on to the delivery policy (src/brain.h).
+// effect owns all that it carries. Each Tell* effect is passed on to the decision engine (src/brain.h).
 #pragma once
 
 #include <cstdint>
@@ -102,7 +102,7 @@
   kNoRoom,
   // The journal could not be written.
   kNotWritten,
-  // The delivery policy returned or failed it in the turn in which it came.
+  // The decision engine returned or failed it in the turn in which it came.
   kPolicy,
   // Intake is closed.
   kStopping
@@ -115,7 +115,7 @@
   ClientRef client;
   Answer answer = Answer::kFailed;
   // With kBusy: how long the client should wait before it sends the message again; zero: not told.
-  Micros not_before{0};
+  Micros retry_after{0};
   // Of the message that is answered, for logs and counters.
   std::string id;
   std::string message_class;
@@ -143,7 +143,7 @@
   std::string id;
   MessageEnd end = MessageEnd::kFailed;
   // With kReturned: how long the client should wait before it sends the message again; zero: not told.
-  Micros not_before{0};
+  Micros retry_after{0};
 };
 
 // Post notices to the platform. Answered by NoticesAccepted, however long that takes.
--- a/src/state/journal.h
+++ b/src/state/journal.h
@@ -14,7 +14,7 @@
 
 namespace indigosaddle::state {
 
-// A message's number in this node, which is also its MessageId in the delivery policy. Serials begin at 1.
+// A message's number in this node, which is also its MessageId in the decision engine. Serials begin at 1.
 using Serial = std::uint64_t;
 
 // A message was accepted. Id, keys and body are kept byte for byte as they came.
@@ -67,7 +67,7 @@
   Serial serial = 0;
   MessageEnd end = MessageEnd::kNoNotice;
   // With kReturned: how long the client should wait before it sends the message again; zero: not told.
-  Micros not_before{0};
+  Micros retry_after{0};
 };
 
 // The platform has accepted the notice of a message.
