--- a/src/net/member_list.cpp
+++ b/src/net/member_list.cpp
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-constexpr double kMaxShare = 1e9;  // calls a second; a larger value is not plausible
+constexpr double kMaxRateLimit = 1e9;  // calls a second; a larger value is not plausible
 
 std::string TextField(const json& entry, const char* name) {
   const auto it = entry.find(name);
@@ -30,11 +30,11 @@
 }
 
 // Zero if there is no valid value: the least that a destination may be assumed to take.
-double ReadShare(const json& entry) {
-  const auto share = entry.find("share");
-  if (share == entry.end() || !share->is_number()) return 0;
-  const double rate = share->get<double>();
-  return rate > 0 && rate <= kMaxShare ? rate : 0;
+double ReadRateLimit(const json& entry) {
+  const auto rate_limit = entry.find("share");
+  if (rate_limit == entry.end() || !rate_limit->is_number()) return 0;
+  const double rate = rate_limit->get<double>();
+  return rate > 0 && rate <= kMaxRateLimit ? rate : 0;
 }
 
 std::optional<Health> ReadHealth(const json& entry) {
@@ -57,12 +57,13 @@
   member.dial = TextField(entry, "dial");
   member.site = TextField(entry, "site");
   member.kind = TextField(entry, "class");
-  member.share = ReadShare(entry);
-  const auto block = entry.find("block");
-  if (block == entry.end() || !block->is_number_integer() || (!block->is_number_unsigned() && *block < 0)) {
+  member.rate_limit = ReadRateLimit(entry);
+  const auto destination = entry.find("block");
+  if (destination == entry.end() || !destination->is_number_integer() ||
+      (!destination->is_number_unsigned() && *destination < 0)) {
     return "no block";
   }
-  member.block = block->get<std::uint64_t>();
+  member.destination = destination->get<std::uint64_t>();
   const std::optional<Health> health = ReadHealth(entry);
   if (!health) return "unknown health";
   member.health = *health;
@@ -110,16 +111,16 @@
   }
 
   // Merges a second entry of a host. If the entries describe different endpoints, neither is used. Of two
-  // health states the worse one counts, and of two shares the smaller one.
+  // health states the worse one counts, and of two rate limits the smaller one.
   void Merge(std::size_t& index, const Member& second) {
     Member& first = update_.members[index];
     if (first.dial != second.dial || first.site != second.site || first.kind != second.kind ||
-        first.block != second.block) {
+        first.destination != second.destination) {
       return MarkUnreadable(index, second.host);
     }
     update_.incomplete |= first.health != second.health;
     first.health = std::max(first.health, second.health);
-    first.share = std::min(first.share, second.share);
+    first.rate_limit = std::min(first.rate_limit, second.rate_limit);
   }
 
   MemberListUpdate update_;
--- a/src/net/member_list.h
+++ b/src/net/member_list.h
@@ -12,12 +12,13 @@
 // The health of an endpoint, as discovery reports it.
 enum class Health : std::uint8_t { kReady, kTerminating, kGone };
 
-// An entry of the list: one endpoint, under the names that discovery uses.
+// An entry of the list: one endpoint. Some members are named differently from the fields of discovery's JSON.
 struct Member {
   // `host`: the endpoint's id. `dial`: the address to connect to, as "ip:port". `kind`: discovery's "class".
   std::string host, dial, site, kind;
-  std::uint64_t block = 0;  // the endpoint's destination
-  double share = 0;         // calls a second that its destination takes (Settings::weights); 0: not reported
+  std::uint64_t destination = 0;  // discovery's "block"
+  // Calls a second that its destination takes (Settings::weights): discovery's "share". 0: not reported.
+  double rate_limit = 0;
   Health health = Health::kReady;
 };
 
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -60,8 +60,8 @@
     listed.endpoint.zone = zone_numbers_.Of(config_.zones, member.site, member.host);
     listed.endpoint.id = std::move(member.host);
     listed.endpoint.kind = NumberOf(config_.kinds, member.kind);
-    listed.endpoint.destination = member.block;
-    listed.endpoint.weight = member.share;
+    listed.endpoint.destination = member.destination;
+    listed.endpoint.weight = member.rate_limit;
     listed.endpoint.state = member.health == net::Health::kReady         ? EndpointState::kReady
                             : member.health == net::Health::kTerminating ? EndpointState::kDraining
                                                                          : EndpointState::kGone;
--- a/tests/net_malformed_list_test.cpp
+++ b/tests/net_malformed_list_test.cpp
@@ -82,7 +82,7 @@
   }
 }
 
-// Of two health states the more cautious one is used, in either order, and of two shares the smaller.
+// Of two health states the more cautious one is used, in either order, and of two rate limits the smaller.
 TEST(MalformedList, OfTwoHealthStatesOrSharesTheMoreCautiousIsUsed) {
   for (const std::string state : {R"("Terminating")", R"("Gone")"}) {
     const std::string other = Entry("health", state);
@@ -98,7 +98,7 @@
        {Entry("share", "9") + "," + Entry(), Entry() + "," + Entry("share", "9")}) {
     const MemberListUpdate update = Change(entries);
     ASSERT_EQ(update.members.size(), 1u) << entries;
-    EXPECT_EQ(update.members[0].share, 1.5) << entries;
+    EXPECT_EQ(update.members[0].rate_limit, 1.5) << entries;
   }
 }
 
@@ -113,9 +113,9 @@
 // Guards against using an invalid rate of calls per second as what the destination can take: its slow start
 // then let any number of calls pass. 0 means unknown, the most cautious value.
 TEST(MalformedList, AnInvalidShareIsReadAsUnknown) {
-  EXPECT_EQ(Change(Entry()).members.at(0).share, 1.5);
+  EXPECT_EQ(Change(Entry()).members.at(0).rate_limit, 1.5);
   for (const std::string malformed : {"", "null", R"("9")", "-1", "-0.0", "[9]", "1e300", "1000000001"}) {
-    EXPECT_EQ(Change(Entry("share", malformed)).members.at(0).share, 0) << malformed;
+    EXPECT_EQ(Change(Entry("share", malformed)).members.at(0).rate_limit, 0) << malformed;
   }
 }
 
