--- a/src/net/call_connection.cpp
+++ b/src/net/call_connection.cpp
@@ -15,10 +15,10 @@
 
 }  // namespace
 
-CallPool::Connection::Connection(CallPool& pool, std::string host, std::string dial, std::uint64_t number)
+CallPool::Connection::Connection(CallPool& pool, std::string host, std::string address, std::uint64_t number)
     : pool_(pool),
       host_(std::move(host)),
-      dial_(std::move(dial)),
+      address_(std::move(address)),
       number_(number),
       lifecycle_(pool.loop_.Now()),
       reader_(kMaxAnswerBodyBytes),
@@ -38,9 +38,9 @@
   return facts;
 }
 
-DenialReason CallPool::Connection::CheckSendCall(const std::string& dial, bool first_call_only) const {
+DenialReason CallPool::Connection::CheckSendCall(const std::string& address, bool first_call_only) const {
   ConnectionFacts facts = Facts();
-  facts.address_changed = dial != dial_;
+  facts.address_changed = address != address_;
   facts.idle_too_long = pool_.IdleTooLong(*this);
   facts.unread_input = !stream_.open_and_quiet();
   facts.first_call_only = first_call_only;
@@ -69,7 +69,7 @@
     start_failure_ = state::AttemptResult::kNotStarted;
     return call_timer_.Start(Micros(0));
   }
-  if (const int error = stream_.Connect(dial_); error != 0) {
+  if (const int error = stream_.Connect(address_); error != 0) {
     start_failure_ = error == UV_ECONNREFUSED ? state::AttemptResult::kConnectionRefused
                      : IsLocalShortage(error) ? state::AttemptResult::kNotStarted
                                               : state::AttemptResult::kConnectFailed;
@@ -115,7 +115,7 @@
 // Asking for the permit may have taken time too, so the connection is checked once more.
 void CallPool::Connection::SendCall(Micros last_byte_by) {
   const Micros checked_at = Now();
-  const DenialReason why = CheckSendCall(dial_, request_.first_call_only);
+  const DenialReason why = CheckSendCall(address_, request_.first_call_only);
   if (why != DenialReason::kNone) {
     if (why != DenialReason::kUnreadInput && why != DenialReason::kIdleTooLong)
       pool_.ReportTrustViolation(*this, why);
--- a/src/net/call_connection.h
+++ b/src/net/call_connection.h
@@ -20,7 +20,7 @@
 class CallPool::Connection : public Stream::Listener {
  public:
   // `number`: of the connection in logs.
-  Connection(CallPool& pool, std::string host, std::string dial, std::uint64_t number);
+  Connection(CallPool& pool, std::string host, std::string address, std::uint64_t number);
 
   const std::string& host() const { return host_; }
   // The message of its latest call.
@@ -33,7 +33,7 @@
   std::size_t unread() const { return stream_.unread(); }
   ConnectionInfo Info() const;
   // Returns why it may not carry a call to this address now, or kNone if it may.
-  DenialReason CheckSendCall(const std::string& dial, bool first_call_only) const;
+  DenialReason CheckSendCall(const std::string& address, bool first_call_only) const;
 
   // Starts a call, after connecting if `connect`. The result always comes later, through OnCallFinished.
   void StartCall(const CallRequest& request, bool connect);
@@ -75,7 +75,7 @@
   CallResult ResultOf(state::AttemptResult attempt_result) const;
 
   CallPool& pool_;
-  const std::string host_, dial_;
+  const std::string host_, address_;
   const std::uint64_t number_;
   ConnectionLifecycle lifecycle_;
   HttpReader reader_;
--- a/src/net/call_pool.cpp
+++ b/src/net/call_pool.cpp
@@ -33,7 +33,7 @@
   const bool connect = connection == nullptr;
   if (connect) {
     if (connections() >= limits_.max_connections) CloseOldestIdle();
-    connection = std::make_unique<Connection>(*this, request.host, request.dial, ++counts_.opened);
+    connection = std::make_unique<Connection>(*this, request.host, request.address, ++counts_.opened);
   } else {
     ++counts_.reused;
   }
@@ -88,11 +88,11 @@
   CloseAndDeleteLater(std::move(removed));
 }
 
-std::size_t CallPool::idle(const std::string& host, const std::string& dial, bool first_call_only) const {
+std::size_t CallPool::idle(const std::string& host, const std::string& address, bool first_call_only) const {
   const auto it = idle_.find(host);
   if (it == idle_.end()) return 0;
   return static_cast<std::size_t>(std::count_if(it->second.begin(), it->second.end(), [&](const auto& c) {
-    return c->CheckSendCall(dial, first_call_only) == DenialReason::kNone;
+    return c->CheckSendCall(address, first_call_only) == DenialReason::kNone;
   }));
 }
 
@@ -102,7 +102,7 @@
   IdleConnections& idle = it->second;
   DenialReason first_denial = DenialReason::kNone;
   for (std::size_t index = 0; index < idle.size();) {
-    const DenialReason why = idle[index]->CheckSendCall(request.dial, request.first_call_only);
+    const DenialReason why = idle[index]->CheckSendCall(request.address, request.first_call_only);
     if (first_denial == DenialReason::kNone) first_denial = why;
     if (why == DenialReason::kSettling || why == DenialReason::kFirstCallOnly) {
       ++index;
--- a/src/net/call_pool.h
+++ b/src/net/call_pool.h
@@ -55,7 +55,7 @@
   // Closes all connections, also those with calls in flight. Nothing is reported any more.
   void Close();
   // Number of the endpoint's idle connections on which a call could begin at once.
-  std::size_t idle(const std::string& host, const std::string& dial, bool first_call_only = false) const;
+  std::size_t idle(const std::string& host, const std::string& address, bool first_call_only = false) const;
   // Number of calls that are not answered yet.
   std::size_t calls() const { return busy_.size(); }
   std::size_t connections() const { return busy_.size() + reading_rest_.size() + idle_count_; }
--- a/src/net/member_list.cpp
+++ b/src/net/member_list.cpp
@@ -54,7 +54,7 @@
   if (!IsHost(host)) return "a host that is not visible ASCII";
   member.host = std::move(host);
   if (entry.contains(kDuplicateNameMark)) return "a part given twice";
-  member.dial = TextField(entry, "dial");
+  member.address = TextField(entry, "dial");
   member.site = TextField(entry, "site");
   member.kind = TextField(entry, "class");
   member.rate_limit = ReadRateLimit(entry);
@@ -67,8 +67,9 @@
   const std::optional<Health> health = ReadHealth(entry);
   if (!health) return "unknown health";
   member.health = *health;
-  sockaddr_storage address{};
-  if (member.health != Health::kGone && !ParseAddress(member.dial, address)) return "no address to dial";
+  sockaddr_storage parsed_address{};
+  if (member.health != Health::kGone && !ParseAddress(member.address, parsed_address))
+    return "no address to dial";
   return {};
 }
 
@@ -114,7 +115,7 @@
   // health states the worse one counts, and of two rate limits the smaller one.
   void Merge(std::size_t& index, const Member& second) {
     Member& first = update_.members[index];
-    if (first.dial != second.dial || first.site != second.site || first.kind != second.kind ||
+    if (first.address != second.address || first.site != second.site || first.kind != second.kind ||
         first.destination != second.destination) {
       return MarkUnreadable(index, second.host);
     }
--- a/src/net/member_list.h
+++ b/src/net/member_list.h
@@ -14,8 +14,9 @@
 
 // An entry of the list: one endpoint. Some members are named differently from the fields of discovery's JSON.
 struct Member {
-  // `host`: the endpoint's id. `dial`: the address to connect to, as "ip:port". `kind`: discovery's "class".
-  std::string host, dial, site, kind;
+  // `host`: the endpoint's id. `address`: discovery's "dial", the address to connect to, as "ip:port".
+  // `kind`: discovery's "class".
+  std::string host, address, site, kind;
   std::uint64_t destination = 0;  // discovery's "block"
   // Calls a second that its destination takes (Settings::weights): discovery's "share". 0: not reported.
   double rate_limit = 0;
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -65,7 +65,7 @@
     listed.endpoint.state = member.health == net::Health::kReady         ? EndpointState::kReady
                             : member.health == net::Health::kTerminating ? EndpointState::kDraining
                                                                          : EndpointState::kGone;
-    listed.dial = std::move(member.dial);
+    listed.address = std::move(member.address);
     event.entries.push_back(std::move(listed));
   }
   Push(std::move(event));
--- a/src/node/node_turn.cpp
+++ b/src/node/node_turn.cpp
@@ -184,7 +184,7 @@
     return Push(
         state::CallEnded{effect.serial, state::AttemptResult::kNotStarted, zero, zero, {}, loop_.Now()});
   }
-  pool_.Start({effect.serial, std::move(effect.dial), std::move(effect.endpoint), std::move(effect.id),
+  pool_.Start({effect.serial, std::move(effect.address), std::move(effect.endpoint), std::move(effect.id),
                std::move(effect.idempotency_key), std::move(effect.body), effect.timeout,
                NeedsFreshConnection(effect.serial)});
 }
@@ -207,7 +207,7 @@
   const auto listed = state_.endpoints.find(endpoint);
   const bool reuses_idle = listed != state_.endpoints.end() &&
                            idle_connections_assigned_[endpoint] <
-                               pool_.idle(endpoint, listed->second.dial, NeedsFreshConnection(id));
+                               pool_.idle(endpoint, listed->second.address, NeedsFreshConnection(id));
   idle_connections_assigned_[endpoint] += reuses_idle ? 1 : 0;
   decisions_.emplace_back(state::SendRequested{id, endpoint, timeout, turn_time_, reuses_idle});
 }
--- a/src/state/effects.h
+++ b/src/state/effects.h
@@ -129,7 +129,7 @@
   Serial serial = 0;
   EndpointId endpoint;
   // The address to connect to.
-  std::string dial;
+  std::string address;
   std::string id;
   std::string idempotency_key;
   std::string body;
--- a/src/state/events.h
+++ b/src/state/events.h
@@ -31,7 +31,7 @@
   // What the delivery policy needs to know of it.
   Endpoint endpoint;
   // The address that calls connect to.
-  std::string dial;
+  std::string address;
 };
 
 // What the journals in the state folder held: at the start, and again where a successor process takes over
--- a/src/state/reducer.cpp
+++ b/src/state/reducer.cpp
@@ -162,7 +162,7 @@
     }
     ++pending->attempts_made;
     const AcceptedMessage& message = pending->message;
-    state_.after_write.emplace_back(StartCall{e.serial, e.endpoint, listed->second.dial, message.id,
+    state_.after_write.emplace_back(StartCall{e.serial, e.endpoint, listed->second.address, message.id,
                                               message.idempotency_key, message.body, e.timeout});
   }
 
--- a/tests/call_pool_results_test.cpp
+++ b/tests/call_pool_results_test.cpp
@@ -164,20 +164,20 @@
 // A call that gets one of the counted connections is recorded as started in the turn that decided it. So the
 // count includes only quiet connections with no unread data.
 TEST_F(CallPoolFixture, IdleCountIncludesOnlyReusableConnections) {
-  const std::string dial = "127.0.0.1:" + std::to_string(port);
-  EXPECT_EQ(pool.idle("s-1", dial), 0u);
+  const std::string address = "127.0.0.1:" + std::to_string(port);
+  EXPECT_EQ(pool.idle("s-1", address), 0u);
   Start();
   Socket socket = Accept();
   ASSERT_TRUE(socket.Write(Answer(200)));
   RunUntilResult();
-  EXPECT_EQ(pool.idle("s-1", dial), 0u);  // not quiet for long enough
+  EXPECT_EQ(pool.idle("s-1", address), 0u);  // not quiet for long enough
   WaitUntilReusable();
-  EXPECT_EQ(pool.idle("s-1", dial), 1u);
-  EXPECT_EQ(pool.idle("s-1", dial, true), 0u);  // limited to connections without an earlier call
+  EXPECT_EQ(pool.idle("s-1", address), 1u);
+  EXPECT_EQ(pool.idle("s-1", address, true), 0u);  // limited to connections without an earlier call
   EXPECT_EQ(pool.idle("s-1", "127.0.0.1:1"), 0u);
-  EXPECT_EQ(pool.idle("s-2", dial), 0u);
+  EXPECT_EQ(pool.idle("s-2", address), 0u);
   ASSERT_TRUE(socket.Write("x"));
-  EXPECT_EQ(pool.idle("s-1", dial), 0u);
+  EXPECT_EQ(pool.idle("s-1", address), 0u);
 }
 
 // The connection is not established before the attempt timeout, so the call never started.
--- a/tests/net_discovery_test.cpp
+++ b/tests/net_discovery_test.cpp
@@ -152,7 +152,7 @@
   EXPECT_EQ(update->version, 41u);
   EXPECT_TRUE(update->whole);
   ASSERT_EQ(update->members.size(), 1u);
-  EXPECT_EQ(update->members[0].dial, "127.0.0.1:9");
+  EXPECT_EQ(update->members[0].address, "127.0.0.1:9");
   EXPECT_EQ(update->members[0].kind, "m2");
   EXPECT_EQ(update->members[0].destination, 3u);
   EXPECT_EQ(update->members[0].health, Health::kReady);
--- a/tests/platform_stand_in.h
+++ b/tests/platform_stand_in.h
@@ -45,11 +45,11 @@
     server_.Stop();
   }
 
-  // An entry of the endpoint list. `dial` is the endpoint's address, `destination` its destination.
-  static nlohmann::json Member(const std::string& host, const std::string& dial, int destination,
+  // An entry of the endpoint list.
+  static nlohmann::json Member(const std::string& host, const std::string& endpoint_address, int destination,
                                const std::string& health = "Ready") {
-    return {{"host", host},         {"dial", dial},     {"site", "z"},  {"class", "m"},
-            {"block", destination}, {"health", health}, {"share", 1.0}, {"born_ms", 0}};
+    return {{"host", host},         {"dial", endpoint_address}, {"site", "z"},  {"class", "m"},
+            {"block", destination}, {"health", health},         {"share", 1.0}, {"born_ms", 0}};
   }
   // Adds a member or replaces the one of the same host, and sends the change to all watches.
   void Set(const nlohmann::json& member) {
--- a/tests/state_calls_test.cpp
+++ b/tests/state_calls_test.cpp
@@ -19,7 +19,7 @@
   driver.EndTurn();
   const auto calls = driver.TakeAll<StartCall>();
   ASSERT_EQ(calls.size(), 1u);
-  EXPECT_EQ(calls[0].dial, "127.0.0.1:1");
+  EXPECT_EQ(calls[0].address, "127.0.0.1:1");
   EXPECT_EQ(calls[0].id, "a");
   EXPECT_EQ(calls[0].idempotency_key, "k0");
   EXPECT_EQ(calls[0].body, "b");
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -186,7 +186,7 @@
   EXPECT_FALSE(driver.All<TellList>()[0].whole);
   driver.Feed(SendRequested{serial, "s-2", seconds(1), seconds(5)});
   driver.EndTurn();
-  EXPECT_EQ(driver.All<StartCall>().at(0).dial, "127.0.0.1:2");
+  EXPECT_EQ(driver.All<StartCall>().at(0).address, "127.0.0.1:2");
   driver.Feed(ListWatchLost{});
   EXPECT_EQ(driver.All<TellListWatchLost>().size(), 1u);
   driver.Feed(CloseIdleRequested{"s-2"});
