--- a/src/net/call_connection.cpp
+++ b/src/net/call_connection.cpp
@@ -15,9 +15,10 @@
 
 }  // namespace
 
-CallPool::Connection::Connection(CallPool& pool, std::string host, std::string address, std::uint64_t number)
+CallPool::Connection::Connection(CallPool& pool, std::string endpoint, std::string address,
+                                 std::uint64_t number)
     : pool_(pool),
-      host_(std::move(host)),
+      endpoint_(std::move(endpoint)),
       address_(std::move(address)),
       number_(number),
       lifecycle_(pool.loop_.Now()),
@@ -34,7 +35,7 @@
 ConnectionFacts CallPool::Connection::Facts() const {
   ConnectionFacts facts;
   facts.state = state();
-  facts.suspect_endpoint = pool_.suspects_.IsSuspect(host_, Now());
+  facts.suspect_endpoint = pool_.suspects_.IsSuspect(endpoint_, Now());
   return facts;
 }
 
--- a/src/net/call_connection.h
+++ b/src/net/call_connection.h
@@ -20,9 +20,9 @@
 class CallPool::Connection : public Stream::Listener {
  public:
   // `number`: of the connection in logs.
-  Connection(CallPool& pool, std::string host, std::string address, std::uint64_t number);
+  Connection(CallPool& pool, std::string endpoint, std::string address, std::uint64_t number);
 
-  const std::string& host() const { return host_; }
+  const std::string& endpoint() const { return endpoint_; }
   // The message of its latest call.
   const std::string& last_id() const { return last_id_; }
   const ConnectionLifecycle& lifecycle() const { return lifecycle_; }
@@ -75,7 +75,7 @@
   CallResult ResultOf(state::AttemptResult attempt_result) const;
 
   CallPool& pool_;
-  const std::string host_, address_;
+  const std::string endpoint_, address_;
   const std::uint64_t number_;
   ConnectionLifecycle lifecycle_;
   HttpReader reader_;
--- a/src/net/call_format.cpp
+++ b/src/net/call_format.cpp
@@ -31,7 +31,7 @@
 
 std::string FormatCall(const CallRequest& request) {
   std::string text =
-      fmt::format("POST /hook HTTP/1.1\r\nHost: {}\r\nX-Trace-Id: {}\r\n", request.host, request.id);
+      fmt::format("POST /hook HTTP/1.1\r\nHost: {}\r\nX-Trace-Id: {}\r\n", request.endpoint, request.id);
   if (!request.idempotency_key.empty())
     text += fmt::format("Idempotency-Key: {}\r\n", request.idempotency_key);
   const auto millis =
--- a/src/net/call_format.h
+++ b/src/net/call_format.h
@@ -15,9 +15,9 @@
 // One call to an endpoint.
 struct CallRequest {
   std::uint64_t serial = 0;  // of the message at this node
-  // `address`: the address to connect to, as "ip:port". `host`: the endpoint's id, sent as the Host header.
-  // `id`: of the message. `idempotency_key`: empty if there is none.
-  std::string address, host, id, idempotency_key, body;
+  // `address`: the address to connect to, as "ip:port". `endpoint`: the endpoint's id, sent as the Host
+  // header. `id`: of the message. `idempotency_key`: empty if there is none.
+  std::string address, endpoint, id, idempotency_key, body;
   Micros timeout{0};             // for the whole call, connecting included
   bool first_call_only = false;  // it may only be the first call of a connection
 };
--- a/src/net/call_pool.cpp
+++ b/src/net/call_pool.cpp
@@ -33,7 +33,7 @@
   const bool connect = connection == nullptr;
   if (connect) {
     if (connections() >= limits_.max_connections) CloseOldestIdle();
-    connection = std::make_unique<Connection>(*this, request.host, request.address, ++counts_.opened);
+    connection = std::make_unique<Connection>(*this, request.endpoint, request.address, ++counts_.opened);
   } else {
     ++counts_.reused;
   }
@@ -70,12 +70,12 @@
 
 void CallPool::KeepIdle(std::unique_ptr<Connection> connection) {
   connection->BecomeIdle();
-  idle_[connection->host()].push_back(std::move(connection));
+  idle_[connection->endpoint()].push_back(std::move(connection));
   ++idle_count_;
 }
 
 void CallPool::OnIdleInput(Connection& connection, std::string_view bytes) {
-  IdleConnections& idle = idle_[connection.host()];
+  IdleConnections& idle = idle_[connection.endpoint()];
   const auto it =
       std::find_if(idle.begin(), idle.end(), [&](const auto& c) { return c.get() == &connection; });
   if (it == idle.end()) return;
@@ -88,8 +88,9 @@
   CloseAndDeleteLater(std::move(removed));
 }
 
-std::size_t CallPool::idle(const std::string& host, const std::string& address, bool first_call_only) const {
-  const auto it = idle_.find(host);
+std::size_t CallPool::idle(const std::string& endpoint, const std::string& address,
+                           bool first_call_only) const {
+  const auto it = idle_.find(endpoint);
   if (it == idle_.end()) return 0;
   return static_cast<std::size_t>(std::count_if(it->second.begin(), it->second.end(), [&](const auto& c) {
     return c->CheckSendCall(address, first_call_only) == DenialReason::kNone;
@@ -97,7 +98,7 @@
 }
 
 std::unique_ptr<CallPool::Connection> CallPool::TakeIdle(const CallRequest& request) {
-  const auto it = idle_.find(request.host);
+  const auto it = idle_.find(request.endpoint);
   if (it == idle_.end()) return nullptr;
   IdleConnections& idle = it->second;
   DenialReason first_denial = DenialReason::kNone;
@@ -127,7 +128,7 @@
 
 void CallPool::CloseOldestIdle() {
   IdleConnections* oldest = nullptr;
-  for (auto& [host, idle] : idle_) {
+  for (auto& [endpoint, idle] : idle_) {
     if (!idle.empty() &&
         (oldest == nullptr || idle.front()->lifecycle().since() < oldest->front()->lifecycle().since())) {
       oldest = &idle;
@@ -139,11 +140,11 @@
   --idle_count_;
 }
 
-void CallPool::CloseIdle(const std::string& host) {
-  const auto it = idle_.find(host);
+void CallPool::CloseIdle(const std::string& endpoint) {
+  const auto it = idle_.find(endpoint);
   if (it == idle_.end()) return;
   const DenialReason why =
-      suspects_.IsSuspect(host, loop_.Now()) ? DenialReason::kSuspectEndpoint : DenialReason::kNone;
+      suspects_.IsSuspect(endpoint, loop_.Now()) ? DenialReason::kSuspectEndpoint : DenialReason::kNone;
   for (const auto& connection : it->second) ReportClosed(*connection, why);
   idle_count_ -= it->second.size();
   idle_.erase(it);
--- a/src/net/call_pool.h
+++ b/src/net/call_pool.h
@@ -49,13 +49,14 @@
   // within.
   void Start(const CallRequest& request);
   // Closes the endpoint's idle connections.
-  void CloseIdle(const std::string& host);
+  void CloseIdle(const std::string& endpoint);
   // Ends the calls whose connections are not established yet, as kNotStarted.
   void EndUnstarted();
   // Closes all connections, also those with calls in flight. Nothing is reported any more.
   void Close();
   // Number of the endpoint's idle connections on which a call could begin at once.
-  std::size_t idle(const std::string& host, const std::string& address, bool first_call_only = false) const;
+  std::size_t idle(const std::string& endpoint, const std::string& address,
+                   bool first_call_only = false) const;
   // Number of calls that are not answered yet.
   std::size_t calls() const { return busy_.size(); }
   std::size_t connections() const { return busy_.size() + reading_rest_.size() + idle_count_; }
@@ -75,7 +76,7 @@
   enum class AfterCall : std::uint8_t { kKeep, kReadRest, kClose };
   // An answer that was accepted on a reused connection and ended its message.
   struct AcceptedAnswer {
-    std::string host;
+    std::string endpoint;
     std::uint64_t serial = 0;
     Micros at{0};
   };
@@ -102,7 +103,7 @@
   void ReportRejectedAnswer(const Connection& connection, DenialReason why,
                             state::AttemptResult attempt_result);
   void ReportTrustViolation(const Connection& connection, DenialReason why);
-  void ReportDoubtfulAnswers(const std::string& host, bool all);
+  void ReportDoubtfulAnswers(const std::string& endpoint, bool all);
 
   Loop& loop_;
   Limits limits_;
--- a/src/net/call_pool_trust.cpp
+++ b/src/net/call_pool_trust.cpp
@@ -9,7 +9,7 @@
 void CallPool::ReportClosed(const Connection& connection, DenialReason why) {
   ++counts_.closed[static_cast<std::size_t>(why)];
   if (observer_ != nullptr)
-    observer_->OnConnectionClosed({connection.host(), connection.last_id(), connection.Info(), why});
+    observer_->OnConnectionClosed({connection.endpoint(), connection.last_id(), connection.Info(), why});
 }
 
 // Unsolicited data indicates that this endpoint, or a proxy in front of it, sends duplicates. So its idle
@@ -18,13 +18,13 @@
                                      Micros wait) {
   ++counts_.unsolicited;
   const Micros now = loop_.Now();
-  const bool all_suspect = suspects_.ReportUnsolicitedData(connection.host(), now);
+  const bool all_suspect = suspects_.ReportUnsolicitedData(connection.endpoint(), now);
   if (observer_ != nullptr) {
-    observer_->OnUnsolicitedData({connection.host(), connection.last_id(), connection.Info(), why, bytes,
+    observer_->OnUnsolicitedData({connection.endpoint(), connection.last_id(), connection.Info(), why, bytes,
                                   suspects_.Count(now), suspects_.AllSuspect(now), wait});
   }
-  all_suspect ? CloseAllIdle() : CloseIdle(std::string(connection.host()));
-  ReportDoubtfulAnswers(connection.host(), all_suspect);
+  all_suspect ? CloseAllIdle() : CloseIdle(std::string(connection.endpoint()));
+  ReportDoubtfulAnswers(connection.endpoint(), all_suspect);
 }
 
 void CallPool::RecordAcceptedAnswer(const Connection& connection, std::uint64_t serial) {
@@ -33,7 +33,7 @@
          now - accepted_answers_.front().at > SuspectEndpoints::kDoubtfulAnswerWindow) {
     accepted_answers_.pop_front();
   }
-  accepted_answers_.push_back({connection.host(), serial, now});
+  accepted_answers_.push_back({connection.endpoint(), serial, now});
 }
 
 void CallPool::ReportRejectedAnswer(const Connection& connection, DenialReason why,
@@ -41,24 +41,25 @@
   ++counts_.rejected_answers;
   if (observer_ != nullptr) {
     observer_->OnAnswerRejected(
-        {connection.host(), connection.last_id(), connection.Info(), attempt_result, why});
+        {connection.endpoint(), connection.last_id(), connection.Info(), attempt_result, why});
   }
 }
 
 void CallPool::ReportTrustViolation(const Connection& connection, DenialReason why) {
   ++counts_.trust_violations;
   if (observer_ != nullptr)
-    observer_->OnTrustViolation({connection.host(), connection.last_id(), connection.Info(), why});
+    observer_->OnTrustViolation({connection.endpoint(), connection.last_id(), connection.Info(), why});
 }
 
-void CallPool::ReportDoubtfulAnswers(const std::string& host, bool all) {
+void CallPool::ReportDoubtfulAnswers(const std::string& endpoint, bool all) {
   const Micros now = loop_.Now();
   std::vector<std::uint64_t> doubtful;
   for (const AcceptedAnswer& answer : accepted_answers_) {
-    if (!all && answer.host != host) continue;
+    if (!all && answer.endpoint != endpoint) continue;
     if (now - answer.at <= SuspectEndpoints::kDoubtfulAnswerWindow) doubtful.push_back(answer.serial);
   }
-  std::erase_if(accepted_answers_, [&](const AcceptedAnswer& answer) { return all || answer.host == host; });
+  std::erase_if(accepted_answers_,
+                [&](const AcceptedAnswer& answer) { return all || answer.endpoint == endpoint; });
   counts_.doubtful_answers += doubtful.size();
   if (observer_ != nullptr && !doubtful.empty()) observer_->OnAnswersDoubtful(doubtful);
 }
--- a/tests/call_pool_test.cpp
+++ b/tests/call_pool_test.cpp
@@ -27,9 +27,9 @@
               loop.Stop();
             }) {}
 
-  void Start(const std::string& host) {
+  void Start(const std::string& endpoint) {
     pool.Start(
-        {++serial, "127.0.0.1:" + std::to_string(port), host, "m", "", "body", std::chrono::seconds(60)});
+        {++serial, "127.0.0.1:" + std::to_string(port), endpoint, "m", "", "body", std::chrono::seconds(60)});
   }
   // Accepts the pool's next connection and reads the whole request from it.
   Socket Accept() {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -125,7 +125,7 @@
 
 TEST(Call, CarriesIdKeyAndBodyUnchanged) {
   CallRequest request;
-  request.host = "s-1";
+  request.endpoint = "s-1";
   request.id = "9b1f";
   request.idempotency_key = "5c0f";
   request.body = std::string("\0\r\n", 3);
