--- a/src/node/journal_file.cpp
+++ b/src/node/journal_file.cpp
@@ -145,7 +145,7 @@
   descriptor_ = file;
   size_ = bytes.size();
   // The owner's file now holds all messages. From here on, `journal.next` belongs to the next successor.
-  if (next_is_abandoned()) {
+  if (next_is_leftover()) {
     unlink(next_path_.c_str());
     close(std::exchange(next_lock_, -1));
   }
--- a/src/node/journal_file.h
+++ b/src/node/journal_file.h
@@ -32,7 +32,7 @@
   bool HasSuccessor() const;
   // Whether `journal.next` can't be a running successor's: this owner holds that file's lock too, until its
   // first rewrite. The file was then left by a process that has ended, or by this one before its take-over.
-  bool next_is_abandoned() const { return owner_lock_ >= 0 && next_lock_ >= 0 && path_ == owner_path_; }
+  bool next_is_leftover() const { return owner_lock_ >= 0 && next_lock_ >= 0 && path_ == owner_path_; }
 
   // Read the journal that an earlier process left, and remove an unfinished rewrite. They return false and
   // set `error` if the folder can't be used, or if the file can't be read to its end, is longer than
--- a/src/node/node_journals.cpp
+++ b/src/node/node_journals.cpp
@@ -59,7 +59,7 @@
   // A successor that died before its take-over left its own file to the next process.
   std::string next_bytes;
   error.clear();
-  if ((!is_owner || journal_.next_is_abandoned()) &&
+  if ((!is_owner || journal_.next_is_leftover()) &&
       !journal_.ReadNext(MaxReadJournalBytes(config_), next_bytes, error)) {
     log_.Write(base::kStateFolderUnusable, config_.state_folder, error);
     return false;
