--- a/src/net/backoff.h
+++ b/src/net/backoff.h
@@ -36,7 +36,8 @@
   // Limit of the random delay before the first request after a start or a lost watch.
   Micros initial_jitter{0};
   Micros min_retry_delay{0}, max_retry_delay{0};  // before a refused request is repeated
-  // From the request until the response begins. The initial value: Discovery raises it while none comes.
+  // From the request until the response begins. The initial value: DiscoveryClient raises it while none
+  // comes.
   Micros response_timeout{0};
 };
 
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-Discovery::Discovery(Loop& loop, Handler& handler, std::string address, const RequestPacing& pacing,
-                     std::uint64_t seed)
+DiscoveryClient::DiscoveryClient(Loop& loop, Handler& handler, std::string address,
+                                 const RequestPacing& pacing, std::uint64_t seed)
     : loop_(loop),
       handler_(&handler),
       address_(std::move(address)),
@@ -45,23 +45,23 @@
       response_timeout_(initial_response_timeout_) {}
 
 // Without a list nothing can be delivered, so a node that holds none asks for it without jitter.
-void Discovery::Start(std::optional<std::uint64_t> held_version) {
+void DiscoveryClient::Start(std::optional<std::uint64_t> held_version) {
   version_ = held_version;
   clock_.OnNoResponse(loop_.Now());  // the 6 s begin no earlier than this process
   held_version ? ScheduleRequest(failure_backoff_.Jitter(initial_jitter_)) : SendRequest();
 }
 
 // A scheduled request keeps its time: sent at once, it would coincide with those of all other nodes.
-void Discovery::Renew() {
+void DiscoveryClient::Renew() {
   if (stream_ == nullptr && !request_scheduled_) ScheduleRequest(Micros(0));
 }
 
-void Discovery::ScheduleRequest(Micros delay) {
+void DiscoveryClient::ScheduleRequest(Micros delay) {
   request_scheduled_ = true;
   request_timer_.Start(delay);
 }
 
-void Discovery::SendRequest() {
+void DiscoveryClient::SendRequest() {
   if (stream_ != nullptr) return;
   watching_ = version_.has_value();
   text_.clear();
@@ -74,7 +74,7 @@
   if (stream_->Connect(address_) != 0) OnFailure("can't connect", Failure::kNoResponse);
 }
 
-void Discovery::OnConnected(int error) {
+void DiscoveryClient::OnConnected(int error) {
   if (error != 0) return OnFailure(uv_strerror(error), Failure::kNoResponse);
   connected_ = true;
   const std::string path =
@@ -86,7 +86,7 @@
   }
 }
 
-void Discovery::OnBytes(std::string_view bytes) {
+void DiscoveryClient::OnBytes(std::string_view bytes) {
   if (stream_ == nullptr) return;
   const bool valid = reader_.Read(bytes);
   if (stream_ == nullptr) return;  // the body made it fail
@@ -109,16 +109,16 @@
   ScheduleRequest(Micros(0));
 }
 
-void Discovery::OnResponseTimeout() {
+void DiscoveryClient::OnResponseTimeout() {
   if (connected_ && stream_ != nullptr && RestartIfUnread(response_timer_, *stream_)) return;
   OnFailure("silent", update_received_ ? Failure::kTimedOut : Failure::kNoResponse);
 }
 
-void Discovery::OnEnd(int error) {
+void DiscoveryClient::OnEnd(int error) {
   if (stream_ != nullptr) OnFailure(uv_strerror(error));
 }
 
-void Discovery::OnBody(std::string_view bytes) {
+void DiscoveryClient::OnBody(std::string_view bytes) {
   if (reader_.status() != 200 || stream_ == nullptr) return;
   if (!watching_) {
     text_.append(bytes);
@@ -139,7 +139,7 @@
     OnFailure("a list that is too long", Failure::kMalformed);
 }
 
-void Discovery::HandleUpdate(std::string_view json) {
+void DiscoveryClient::HandleUpdate(std::string_view json) {
   std::optional<MemberListUpdate> update = ParseMembers(json);
   // A watch begins with the changes since `version_` or with the whole list, whose version may be lower.
   // After that, versions never decrease.
@@ -165,7 +165,7 @@
 // A discovery that refuses may be overloaded, so each refusal lengthens the delay. A watch that ended may
 // have ended for all nodes at this instant, so the delay gets jitter. A watch that timed out gets none: much
 // of the time by which a new one must be open has passed.
-void Discovery::OnFailure(std::string_view reason, Failure failure) {
+void DiscoveryClient::OnFailure(std::string_view reason, Failure failure) {
   response_timer_.Stop();
   CloseStream();
   if (failure == Failure::kRefused) {
@@ -186,14 +186,14 @@
 }
 
 // No callback of the stream comes any more. It is deleted later, as it may be in one of its callbacks.
-void Discovery::CloseStream() {
+void DiscoveryClient::CloseStream() {
   if (stream_ == nullptr) return;
   stream_->Close();
   closed_stream_ = std::move(stream_);
 }
 
 // A complete line or list arrived and could be read. Bytes that complete neither confirm nothing.
-void Discovery::OnConfirmed() {
+void DiscoveryClient::OnConfirmed() {
   update_received_ = true;
   response_timeout_ = initial_response_timeout_;
   failure_backoff_.Reset();
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -18,7 +18,7 @@
 namespace indigosaddle::net {
 
 // Keeps one request to discovery open or scheduled, each on a connection of its own.
-class Discovery : private Stream::Listener {
+class DiscoveryClient : private Stream::Listener {
  public:
   // Receives the updates.
   class Handler {
@@ -32,8 +32,8 @@
   };
 
   // `address`: ip:port of discovery. `seed`: of all random delays. The handler must outlive this.
-  Discovery(Loop& loop, Handler& handler, std::string address, const RequestPacing& pacing,
-            std::uint64_t seed);
+  DiscoveryClient(Loop& loop, Handler& handler, std::string address, const RequestPacing& pacing,
+                  std::uint64_t seed);
 
   // Starts with the first request. `held_version`: version of the list that the node holds already, so that
   // only later changes are asked for.
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -38,7 +38,7 @@
 // thread alone. The loop and the log must outlive it.
 class Node : private Host,
              private net::RespServer::Handler,
-             private net::Discovery::Handler,
+             private net::DiscoveryClient::Handler,
              private net::Notices::Handler,
              private net::ControlServer::Handler,
              private net::AdminServer::Handler,
@@ -103,7 +103,7 @@
   void CheckFolderOwnership();
   void LeaveStandby();
   void ShareJournalQuota(bool shared);
-  std::unique_ptr<net::Discovery> MakeDiscovery(net::Discovery::Handler& handler);
+  std::unique_ptr<net::DiscoveryClient> MakeDiscovery(net::DiscoveryClient::Handler& handler);
   void ChangeDiscoveryAddress();
   void SwitchDiscovery();
   const char* StateName() const;
@@ -190,9 +190,9 @@
   std::unique_ptr<ShadowEvaluation> shadow_evaluation_;  // null: no settings are evaluated
   net::CallPool pool_;
   net::RespServer server_;
-  std::unique_ptr<net::Discovery> discovery_;  // null once intake has ended
+  std::unique_ptr<net::DiscoveryClient> discovery_;  // null once intake has ended
   // Handles discovery at a new address until it has sent a whole list. The old watch goes on until then.
-  class NewDiscoveryHandler : public net::Discovery::Handler {
+  class NewDiscoveryHandler : public net::DiscoveryClient::Handler {
    public:
     explicit NewDiscoveryHandler(Node& node) : node_(node) {}
     void OnMembers(net::MemberListUpdate update) override;
@@ -202,7 +202,7 @@
     Node& node_;
   };
   NewDiscoveryHandler new_discovery_handler_{*this};
-  std::unique_ptr<net::Discovery> new_discovery_;
+  std::unique_ptr<net::DiscoveryClient> new_discovery_;
   std::string discovery_address_;  // that discovery_ uses
   net::Notices notices_;
   std::optional<net::ControlServer> control_;  // empty once the process ends
--- a/src/node/node_operations.cpp
+++ b/src/node/node_operations.cpp
@@ -55,11 +55,12 @@
   RunTurn();
 }
 
-std::unique_ptr<net::Discovery> Node::MakeDiscovery(net::Discovery::Handler& handler) {
+std::unique_ptr<net::DiscoveryClient> Node::MakeDiscovery(net::DiscoveryClient::Handler& handler) {
   const bool on_request = config_.settings.discovery == Discovery::kOnRequest;
   const net::RequestPacing pacing =
       net::RequestPacingFor(config_.settings.senders, on_request ? config_.settings.must_ask_in : Micros(0));
-  return std::make_unique<net::Discovery>(loop_, handler, config_.discovery, pacing, config_.settings.seed);
+  return std::make_unique<net::DiscoveryClient>(loop_, handler, config_.discovery, pacing,
+                                                config_.settings.seed);
 }
 
 // Discovery may not answer at the new address yet, or never: the address may be mistyped, or changed before
--- a/tests/net_list_timing_test.cpp
+++ b/tests/net_list_timing_test.cpp
@@ -28,7 +28,7 @@
 // The first request of one kind (a list or a watch) fails; after it discovery works. The measured time runs
 // from the start of that request to the next update. The start is the latest time at which discovery may have
 // come back without answering this request.
-class ListTiming : public ::testing::Test, private net::Discovery::Handler {
+class ListTiming : public ::testing::Test, private net::DiscoveryClient::Handler {
  protected:
   using Fault = std::function<void(Socket&)>;
 
@@ -52,8 +52,8 @@
     });
     net::Loop loop;
     const net::RequestPacing single_node = net::RequestPacingFor(1, Micros(0));
-    net::Discovery discovery(loop, *this, server.address(),
-                             pace.max_retry_delay > Micros(0) ? pace : single_node, 1);
+    net::DiscoveryClient discovery(loop, *this, server.address(),
+                                   pace.max_retry_delay > Micros(0) ? pace : single_node, 1);
     discovery.Start(known_version);
     const auto deadline = Clock::now() + seconds(20);
     net::Timer poll_timer(loop, [&] {
@@ -67,7 +67,7 @@
     EXPECT_GT(update_at_, Clock::time_point()) << "no list update";
     return std::chrono::duration_cast<milliseconds>(update_at_ - faulty_request_at_.load());
   }
-  net::Discovery::Handler& handler() { return *this; }
+  net::DiscoveryClient::Handler& handler() { return *this; }
   // Time for an answer on a busy machine.
   static constexpr milliseconds kAnswerAllowance{1000};
   static constexpr milliseconds kBound =
@@ -170,7 +170,7 @@
     return true;
   });
   net::Loop loop;
-  net::Discovery discovery(loop, handler(), server.address(), net::RequestPacingFor(1, Micros(0)), 1);
+  net::DiscoveryClient discovery(loop, handler(), server.address(), net::RequestPacingFor(1, Micros(0)), 1);
   discovery.Start();
   const auto deadline = Clock::now() + seconds(20);
   net::Timer poll_timer(loop, [&] {
--- a/tests/net_malformed_watch_test.cpp
+++ b/tests/net_malformed_watch_test.cpp
@@ -30,7 +30,7 @@
 
 // A scripted discovery. The n-th list request gets the n-th of `lists`, and the n-th watch the n-th of
 // `lines` as its first line; the last of each repeats.
-class MalformedUpdates : public ::testing::Test, private net::Discovery::Handler {
+class MalformedUpdates : public ::testing::Test, private net::DiscoveryClient::Handler {
  protected:
   void RunDiscovery(std::vector<std::string> lists, std::vector<std::string> lines,
                     const std::function<bool()>& done, milliseconds timeout = seconds(5)) {
@@ -45,7 +45,7 @@
     });
     net::Loop loop;
     now_ = [&] { return loop.Now(); };
-    net::Discovery discovery(loop, *this, server.address(), net::RequestPacingFor(1, Micros(0)), 1);
+    net::DiscoveryClient discovery(loop, *this, server.address(), net::RequestPacingFor(1, Micros(0)), 1);
     discovery.Start();
     const auto deadline = Clock::now() + timeout;
     net::Timer poll_timer(
--- a/tests/net_watch_silence_test.cpp
+++ b/tests/net_watch_silence_test.cpp
@@ -23,7 +23,7 @@
 
 // Discovery sends a whole list, indented and three bytes at a time, then a first watch that `first`
 // writes and that falls silent afterwards. Records when it fell silent and when the next watch was requested.
-class WatchSilence : public ::testing::Test, private net::Discovery::Handler {
+class WatchSilence : public ::testing::Test, private net::DiscoveryClient::Handler {
  protected:
   using WatchScript = std::function<void(Socket&)>;
 
@@ -53,7 +53,7 @@
       return true;  // the connection stays open
     });
     net::Loop loop;
-    net::Discovery discovery(loop, *this, server.address(), net::RequestPacingFor(1, Micros(0)), 1);
+    net::DiscoveryClient discovery(loop, *this, server.address(), net::RequestPacingFor(1, Micros(0)), 1);
     discovery.Start();
     net::Timer poll_timer(loop, [&] {
       const std::lock_guard lock(mutex_);
