--- a/src/net/member_list.cpp
+++ b/src/net/member_list.cpp
@@ -37,11 +37,11 @@
   return rate > 0 && rate <= kMaxRateLimit ? rate : 0;
 }
 
-std::optional<Health> ReadHealth(const json& entry) {
+std::optional<ReportedHealth> ReadHealth(const json& entry) {
   const std::string text = TextField(entry, "health");
-  if (text == "Ready") return Health::kReady;
-  if (text == "Terminating") return Health::kTerminating;
-  if (text == "Gone") return Health::kGone;
+  if (text == "Ready") return ReportedHealth::kReady;
+  if (text == "Terminating") return ReportedHealth::kTerminating;
+  if (text == "Gone") return ReportedHealth::kGone;
   return std::nullopt;
 }
 
@@ -64,11 +64,11 @@
     return "no block";
   }
   member.destination = destination->get<std::uint64_t>();
-  const std::optional<Health> health = ReadHealth(entry);
+  const std::optional<ReportedHealth> health = ReadHealth(entry);
   if (!health) return "unknown health";
   member.health = *health;
   sockaddr_storage parsed_address{};
-  if (member.health != Health::kGone && !ParseAddress(member.address, parsed_address))
+  if (member.health != ReportedHealth::kGone && !ParseAddress(member.address, parsed_address))
     return "no address to dial";
   return {};
 }
--- a/src/net/member_list.h
+++ b/src/net/member_list.h
@@ -10,7 +10,7 @@
 namespace indigosaddle::net {
 
 // The health of an endpoint, as discovery reports it.
-enum class Health : std::uint8_t { kReady, kTerminating, kGone };
+enum class ReportedHealth : std::uint8_t { kReady, kTerminating, kGone };
 
 // An entry of the list: one endpoint. Some members are named differently from the fields of discovery's JSON.
 struct Member {
@@ -20,7 +20,7 @@
   std::uint64_t destination = 0;  // discovery's "block"
   // Calls a second that its destination takes (Settings::weights): discovery's "share". 0: not reported.
   double rate_limit = 0;
-  Health health = Health::kReady;
+  ReportedHealth health = ReportedHealth::kReady;
 };
 
 // What one text of discovery says: the whole list, or a change of it.
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -62,9 +62,9 @@
     listed.endpoint.kind = NumberOf(config_.kinds, member.kind);
     listed.endpoint.destination = member.destination;
     listed.endpoint.weight = member.rate_limit;
-    listed.endpoint.state = member.health == net::Health::kReady         ? EndpointState::kReady
-                            : member.health == net::Health::kTerminating ? EndpointState::kDraining
-                                                                         : EndpointState::kGone;
+    listed.endpoint.state = member.health == net::ReportedHealth::kReady         ? EndpointState::kReady
+                            : member.health == net::ReportedHealth::kTerminating ? EndpointState::kDraining
+                                                                                 : EndpointState::kGone;
     listed.address = std::move(member.address);
     event.entries.push_back(std::move(listed));
   }
--- a/tests/net_discovery_test.cpp
+++ b/tests/net_discovery_test.cpp
@@ -155,7 +155,7 @@
   EXPECT_EQ(update->members[0].address, "127.0.0.1:9");
   EXPECT_EQ(update->members[0].kind, "m2");
   EXPECT_EQ(update->members[0].destination, 3u);
-  EXPECT_EQ(update->members[0].health, Health::kReady);
+  EXPECT_EQ(update->members[0].health, ReportedHealth::kReady);
 }
 
 TEST(Members, MalformedEntriesAreSkippedAndTheRestUsed) {
@@ -179,7 +179,7 @@
   const auto update = ParseMembers(List(kValidEntry + "," + draining));
   ASSERT_TRUE(update);
   ASSERT_EQ(update->members.size(), 1u);
-  EXPECT_EQ(update->members[0].health, Health::kTerminating);
+  EXPECT_EQ(update->members[0].health, ReportedHealth::kTerminating);
 }
 
 TEST(Members, AMalformedListIsRejected) {
--- a/tests/net_malformed_list_test.cpp
+++ b/tests/net_malformed_list_test.cpp
@@ -89,7 +89,8 @@
     for (const std::string& entries : {Entry() + "," + other, other + "," + Entry()}) {
       const MemberListUpdate update = Change(entries);
       ASSERT_EQ(update.members.size(), 1u) << entries;
-      EXPECT_EQ(update.members[0].health, state == R"("Gone")" ? Health::kGone : Health::kTerminating)
+      EXPECT_EQ(update.members[0].health,
+                state == R"("Gone")" ? ReportedHealth::kGone : ReportedHealth::kTerminating)
           << entries;
       EXPECT_TRUE(update.incomplete) << entries;
     }
