--- a/src/net/call_answer.cpp
+++ b/src/net/call_answer.cpp
@@ -112,7 +112,7 @@
   if (why != DenialReason::kNone) return RejectAnswer(why, attempt_result);
   answer_accepted_ = true;
   CallResult result = ResultOf(attempt_result);
-  result.wait = RetryAfterOf(reader_);
+  result.retry_after = RetryAfterOf(reader_);
   result.load = ParseLoadReport(reader_.header("endpoint-load-metrics"));
   if (lifecycle_.calls() > 1 && state::MeaningOf(attempt_result).message_done)
     pool_.RecordAcceptedAnswer(*this, serial_);
@@ -131,7 +131,7 @@
   if (IndicatesUnsolicitedData(why)) pool_.HandleUnsolicitedData(*this, why, last_read_size_);
   CallResult result = ResultOf(request_sent_ ? state::AttemptResult::kMalformedResponse
                                              : state::AttemptResult::kBrokenBeforeSent);
-  result.wait = RetryAfterOf(reader_);
+  result.retry_after = RetryAfterOf(reader_);
   pool_.OnCallFinished(*this, result, AfterCall::kClose, why);
 }
 
--- a/src/net/call_pool.h
+++ b/src/net/call_pool.h
@@ -98,7 +98,7 @@
 
   // Unsolicited data and its consequences (call_pool_trust.cpp).
   void HandleUnsolicitedData(const Connection& connection, DenialReason why, std::size_t bytes,
-                             Micros wait = Micros(0));
+                             Micros retry_after = Micros(0));
   void RecordAcceptedAnswer(const Connection& connection, std::uint64_t serial);
   void ReportRejectedAnswer(const Connection& connection, DenialReason why,
                             state::AttemptResult attempt_result);
--- a/src/net/call_pool_trust.cpp
+++ b/src/net/call_pool_trust.cpp
@@ -15,13 +15,13 @@
 // Unsolicited data indicates that this endpoint, or a proxy in front of it, sends duplicates. So its idle
 // connections are closed, and the answers accepted lately on its reused connections become doubtful.
 void CallPool::HandleUnsolicitedData(const Connection& connection, DenialReason why, std::size_t bytes,
-                                     Micros wait) {
+                                     Micros retry_after) {
   ++counts_.unsolicited;
   const Micros now = loop_.Now();
   const bool all_suspect = suspects_.ReportUnsolicitedData(connection.endpoint(), now);
   if (observer_ != nullptr) {
     observer_->OnUnsolicitedData({connection.endpoint(), connection.last_id(), connection.Info(), why, bytes,
-                                  suspects_.Count(now), suspects_.AllSuspect(now), wait});
+                                  suspects_.Count(now), suspects_.AllSuspect(now), retry_after});
   }
   all_suspect ? CloseAllIdle() : CloseIdle(std::string(connection.endpoint()));
   ReportDoubtfulAnswers(connection.endpoint(), all_suspect);
--- a/src/net/call_reports.h
+++ b/src/net/call_reports.h
@@ -25,8 +25,9 @@
 struct CallResult {
   std::uint64_t serial = 0;
   state::AttemptResult attempt_result = state::AttemptResult::kNotStarted;
-  // `latency`: from the call's start, connecting included. `wait`: Retry-After of the answer; zero: none.
-  Micros latency{0}, wait{0};
+  // `latency`: from the call's start, connecting included. `retry_after`: Retry-After of the answer; zero:
+  // none.
+  Micros latency{0}, retry_after{0};
   LoadReport load;
   ConnectionInfo connection{};
 };
@@ -38,7 +39,7 @@
   DenialReason why = DenialReason::kNone;
   std::size_t bytes = 0, suspects = 0;  // `suspects`: endpoints that are suspect now
   bool all_suspect = false;             // all endpoints are suspect now
-  Micros wait{0};                       // Retry-After in these bytes; zero: none
+  Micros retry_after{0};                // Retry-After in these bytes; zero: none
 };
 
 // An answer that was not accepted. Its call ends as one that may have run, or as one that was never sent.
--- a/src/node/node_connections.cpp
+++ b/src/node/node_connections.cpp
@@ -16,7 +16,8 @@
   log_.Write(base::kUnsolicitedBytes, unsolicited.endpoint, connection.number, NameOf(connection.state),
              connection.age, connection.in_state, connection.calls, unsolicited.last_id,
              NameOf(unsolicited.why), unsolicited.bytes, unsolicited.suspects, unsolicited.all_suspect);
-  if (unsolicited.wait > Micros(0)) Push(state::RetryAfterReceived{unsolicited.endpoint, unsolicited.wait});
+  if (unsolicited.retry_after > Micros(0))
+    Push(state::RetryAfterReceived{unsolicited.endpoint, unsolicited.retry_after});
 }
 
 void Node::OnAnswerRejected(const net::RejectedAnswer& answer) {
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -107,7 +107,7 @@
 void Node::OnCallEnded(const net::CallResult& result) {
   ++attempt_results_[static_cast<std::size_t>(result.attempt_result)];
   LogCall(result);
-  Push(state::CallEnded{result.serial, result.attempt_result, result.latency, result.wait, result.load,
+  Push(state::CallEnded{result.serial, result.attempt_result, result.latency, result.retry_after, result.load,
                         loop_.Now()});
 }
 
--- a/src/node/node_log.cpp
+++ b/src/node/node_log.cpp
@@ -110,11 +110,11 @@
   const std::string rules = Describe(pending.message.rules);
   if (result.attempt_result == state::AttemptResult::kDelivered) {
     log_.Write(base::kCallDelivered, pending.message.id, pending.message.destination, pending.endpoint,
-               attempt, state::NameOf(result.attempt_result), result.latency, result.wait, rules,
+               attempt, state::NameOf(result.attempt_result), result.latency, result.retry_after, rules,
                result.connection.number, result.connection.calls, result.connection.age);
   } else {
     log_.Write(base::kCallEnded, pending.message.id, pending.message.destination, pending.endpoint, attempt,
-               state::NameOf(result.attempt_result), result.latency, result.wait, rules,
+               state::NameOf(result.attempt_result), result.latency, result.retry_after, rules,
                result.connection.number, result.connection.calls, result.connection.age);
   }
 }
--- a/tests/call_pool_duplicate_answer_test.cpp
+++ b/tests/call_pool_duplicate_answer_test.cpp
@@ -33,7 +33,7 @@
  private:
   void OnUnsolicitedData(const net::UnsolicitedData& data) override {
     ++unsolicited_count;
-    unsolicited_retry_after = data.wait;
+    unsolicited_retry_after = data.retry_after;
   }
   void OnAnswerRejected(const net::RejectedAnswer&) override { ++rejected_count; }
   void OnConnectionClosed(const net::ClosedConnection&) override {}
@@ -118,7 +118,7 @@
   const Socket socket = StartCallOnReusedConnection();
   ASSERT_TRUE(socket.Write(Answer(429, "X-Retry-In-Ms: 700\r\n") + Answer(200)));
   EXPECT_EQ(RunUntilResult(), AttemptResult::kMalformedResponse);
-  EXPECT_EQ(results.back().wait, milliseconds(700));
+  EXPECT_EQ(results.back().retry_after, milliseconds(700));
 }
 
 // Once an endpoint is suspect, no answer on its reused connections is accepted for the call in flight there.
--- a/tests/call_pool_malformed_answer_test.cpp
+++ b/tests/call_pool_malformed_answer_test.cpp
@@ -26,18 +26,18 @@
        {"", "X-Retry-In-Ms:\r\n", "X-Retry-In-Ms: soon\r\n", "X-Retry-In-Ms: -1\r\n", "X-Retry-In: 5\r\n"}) {
     const net::CallResult result = ResultOf("429 Full", malformed);
     EXPECT_EQ(result.attempt_result, AttemptResult::kTooManyRequests) << malformed;
-    EXPECT_EQ(result.wait, net::kUnreadableRetryAfter) << malformed;
+    EXPECT_EQ(result.retry_after, net::kUnreadableRetryAfter) << malformed;
   }
-  EXPECT_EQ(ResultOf("429 Full", "X-Retry-In-Ms: 0\r\n").wait, Micros(0));
-  EXPECT_EQ(ResultOf("429 Full", "X-Retry-In-Ms: 5000\r\nX-Retry-In-Ms: 0\r\n").wait, seconds(5));
+  EXPECT_EQ(ResultOf("429 Full", "X-Retry-In-Ms: 0\r\n").retry_after, Micros(0));
+  EXPECT_EQ(ResultOf("429 Full", "X-Retry-In-Ms: 5000\r\nX-Retry-In-Ms: 0\r\n").retry_after, seconds(5));
 }
 
 // A 503 asks for a pause only if it has a Retry-After header.
 TEST_F(MalformedAnswers, A503HasARetryAfterOnlyIfTheHeaderIsPresent) {
-  EXPECT_EQ(ResultOf("503 Full", "").wait, Micros(0));
-  EXPECT_EQ(ResultOf("503 Full", "X-Retry-In-Ms: 250\r\n").wait, milliseconds(250));
-  EXPECT_EQ(ResultOf("503 Full", "X-Retry-In-Ms: soon\r\n").wait, net::kUnreadableRetryAfter);
-  EXPECT_EQ(ResultOf("503 Full", "X-Retry-In-Ms:\r\n").wait, net::kUnreadableRetryAfter);
+  EXPECT_EQ(ResultOf("503 Full", "").retry_after, Micros(0));
+  EXPECT_EQ(ResultOf("503 Full", "X-Retry-In-Ms: 250\r\n").retry_after, milliseconds(250));
+  EXPECT_EQ(ResultOf("503 Full", "X-Retry-In-Ms: soon\r\n").retry_after, net::kUnreadableRetryAfter);
+  EXPECT_EQ(ResultOf("503 Full", "X-Retry-In-Ms:\r\n").retry_after, net::kUnreadableRetryAfter);
 }
 
 // Only the exact header value says that no slot was free; with any other the endpoint rejected the call.
