--- a/src/net/resp_connection.cpp
+++ b/src/net/resp_connection.cpp
@@ -70,7 +70,7 @@
 void RespServer::Connection::CloseIfOverdue(Micros now, bool slots_wanted) {
   const Micros inactive = now - last_activity_at_;
   if (lingering_) {
-    if (inactive < (linger_reason_ == ClientCloseReason::kErrorReply ? resp::kLingerTimeout
+    if (inactive < (linger_reason_ == ClientCloseReason::kErrorReply ? resp::kErrorLingerTimeout
                                                                      : resp::kDisconnectLingerTimeout)) {
       return;
     }
--- a/src/net/resp_limits.h
+++ b/src/net/resp_limits.h
@@ -25,7 +25,7 @@
 constexpr Micros kCommandTimeout = std::chrono::milliseconds(2500);  // for a command, from its first byte
 constexpr Micros kWriteTimeout = std::chrono::seconds(3);            // for the client to read replies
 // For the client to close its side after a last reply that was an error.
-constexpr Micros kLingerTimeout = std::chrono::milliseconds(500);
+constexpr Micros kErrorLingerTimeout = std::chrono::milliseconds(500);
 // The same where the node ends the connection for another reason.
 constexpr Micros kDisconnectLingerTimeout = std::chrono::milliseconds(200);
 constexpr std::size_t kMaxDiscardedBytes = std::size_t{1024} * 1024;  // received while lingering
