--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -72,10 +72,10 @@
     };
   }
   try {
-    node::StartupConfig beginning = node::LoadStartupConfig(node::EdgeEnvironment(), file, step_hook);
-    base::Log log(beginning.config.name, beginning.config.log);
+    node::StartupConfig startup = node::LoadStartupConfig(node::EdgeEnvironment(), file, step_hook);
+    base::Log log(startup.config.name, startup.config.log);
     net::Loop loop;
-    node::Node node(loop, std::move(beginning), log);
+    node::Node node(loop, std::move(startup), log);
     if (!node.Start()) throw CommandError(ExitStatus::kFailed, "");
     const SignalHandlers signal_handlers(loop, node);
     loop.Run();
--- a/src/node/config_changes.cpp
+++ b/src/node/config_changes.cpp
@@ -21,23 +21,22 @@
 
 }  // namespace
 
-ConfigChanges::ConfigChanges(net::Loop& loop, Owner& owner, StartupConfig beginning, base::Log& log)
+ConfigChanges::ConfigChanges(net::Loop& loop, Owner& owner, StartupConfig startup, base::Log& log)
     : loop_(loop),
       owner_(owner),
       log_(log),
-      sources_(std::move(beginning.sources)),
-      last_good_(beginning.config.state_folder),
-      operators_path_(std::move(beginning.operators_path)),
-      step_(beginning.step ? std::move(beginning.step) : [](const char*) {}),
-      transactions_(TransactionRulesOf(beginning.config)),
-      guard_(beginning.config.guard_rules),
-      start_history_(std::move(beginning.history)),
-      start_error_(std::move(beginning.load_errors)),
+      sources_(std::move(startup.sources)),
+      last_good_(startup.config.state_folder),
+      operators_path_(std::move(startup.operators_path)),
+      step_(startup.step ? std::move(startup.step) : [](const char*) {}),
+      transactions_(TransactionRulesOf(startup.config)),
+      guard_(startup.config.guard_rules),
+      start_history_(std::move(startup.history)),
+      start_error_(std::move(startup.load_errors)),
       transaction_timer_(loop, [this] { HandleEvent(config::TimerFired{loop_.Now()}); }),
       guard_timer_(loop, [this] { CheckGuard(); }) {
   if (sources_.operators_file.given) {
-    store_ =
-        std::make_unique<config::Store>(beginning.config.state_folder, beginning.config.disk_bytes, step_);
+    store_ = std::make_unique<config::Store>(startup.config.state_folder, startup.config.disk_bytes, step_);
   }
 }
 
@@ -200,20 +199,20 @@
   if (!node.empty()) node.mapped()({{"ok", answer.ok}, {"generation", answer.number}, {"text", answer.text}});
 }
 
-void ConfigChanges::CarryOut(const config::WriteLog& tell) {
+void ConfigChanges::CarryOut(const config::WriteLog& entry) {
   using enum config::LogKind;
   // The rules for trials come from the configuration that is now in force, also if it is on trial itself. A
   // guard whose trial is under way keeps the rules that the trial began with.
   transactions_.SetRules(TransactionRulesOf(owner_.running()));
   guard_.SetRules(owner_.running().guard_rules);
-  switch (tell.kind) {
-    case kRefused: return log_.Write(base::kConfigRefused, tell.author, tell.text);
+  switch (entry.kind) {
+    case kRefused: return log_.Write(base::kConfigRefused, entry.author, entry.text);
     case kOnTrial:
-      return log_.Write(base::kConfigOnTrial, tell.number, tell.author, tell.text,
+      return log_.Write(base::kConfigOnTrial, entry.number, entry.author, entry.text,
                         owner_.running().guard_rules.trial);
-    case kKept: step_("config.kept"); return log_.Write(base::kConfigAccepted, tell.number, tell.text);
-    case kUndone: return log_.Write(base::kConfigRolledBack, tell.number, tell.back_to, tell.text);
-    case kInterrupted: return log_.Write(base::kConfigTrialInterrupted, tell.number, tell.text);
+    case kKept: step_("config.kept"); return log_.Write(base::kConfigAccepted, entry.number, entry.text);
+    case kUndone: return log_.Write(base::kConfigRolledBack, entry.number, entry.back_to, entry.text);
+    case kInterrupted: return log_.Write(base::kConfigTrialInterrupted, entry.number, entry.text);
     case kStoreFailed: return;  // logged when the store failed
   }
 }
--- a/src/node/config_changes.h
+++ b/src/node/config_changes.h
@@ -38,7 +38,7 @@
     virtual void Adopt(Config next) = 0;
   };
 
-  ConfigChanges(net::Loop& loop, Owner& owner, StartupConfig beginning, base::Log& log);
+  ConfigChanges(net::Loop& loop, Owner& owner, StartupConfig startup, base::Log& log);
 
   // Logs what the process starts with and begins to handle changes. Called once, before everything else.
   void Start();
@@ -57,7 +57,7 @@
   // the next process.
   void Freeze();
   // Counts the outcome of one message for the guard.
-  void Count(config::GuardOutcome sign, Micros now) { guard_.Count(sign, now); }
+  void Count(config::GuardOutcome outcome, Micros now) { guard_.Count(outcome, now); }
 
   // Receives the answer to one request, as a JSON object.
   using Answer = std::function<void(nlohmann::json)>;
@@ -85,7 +85,7 @@
   void CarryOut(const config::CancelTrial&);
   void CarryOut(const config::ArmTimer& timer);
   void CarryOut(const config::Answer& answer);
-  void CarryOut(const config::WriteLog& tell);
+  void CarryOut(const config::WriteLog& entry);
 
   // Checks an operator's document against the running configuration and the messages held. Returns the
   // configuration that it makes, or nothing, with `faults`, if it may not be applied. For a rollback (`undo`)
--- a/tests/config/malformed_platform_documents_test.cpp
+++ b/tests/config/malformed_platform_documents_test.cpp
@@ -41,11 +41,10 @@
   json damaged = good;
   damaged["settings"]["cbps"] = damaged["settings"]["caps"];
   damaged["settings"].erase("caps");
-  node::StartupConfig beginning;
-  ASSERT_NO_THROW(beginning = Begin(damaged, good));
-  EXPECT_NE(beginning.load_errors.find("settings.caps: is missing"), std::string::npos)
-      << beginning.load_errors;
-  EXPECT_EQ(json::parse(beginning.sources.platform.text), good);
+  node::StartupConfig startup;
+  ASSERT_NO_THROW(startup = Begin(damaged, good));
+  EXPECT_NE(startup.load_errors.find("settings.caps: is missing"), std::string::npos) << startup.load_errors;
+  EXPECT_EQ(json::parse(startup.sources.platform.text), good);
 }
 
 // The "operator" part is dropped from a document. It must not be reported as missing because the document in
@@ -126,12 +125,11 @@
   incomplete["settings"].erase("goal");
   std::ofstream(folder_ + "/platform.json") << last_good.dump();
   std::ofstream(folder_ + "/config.json") << incomplete.dump();
-  node::StartupConfig beginning;
-  ASSERT_NO_THROW(beginning = node::LoadStartupConfig({{"EDGE_CONFIG", folder_ + "/config.json"}},
-                                                      folder_ + "/operators.toml"));
-  EXPECT_NE(beginning.load_errors.find("settings.goal: is missing"), std::string::npos)
-      << beginning.load_errors;
-  EXPECT_EQ(json::parse(beginning.sources.platform.text), last_good);
+  node::StartupConfig startup;
+  ASSERT_NO_THROW(startup = node::LoadStartupConfig({{"EDGE_CONFIG", folder_ + "/config.json"}},
+                                                    folder_ + "/operators.toml"));
+  EXPECT_NE(startup.load_errors.find("settings.goal: is missing"), std::string::npos) << startup.load_errors;
+  EXPECT_EQ(json::parse(startup.sources.platform.text), last_good);
 }
 
 // The length of a list of plain values was not limited, so that one with millions of entries stalled the node
