--- a/src/node/message_rules.cpp
+++ b/src/node/message_rules.cpp
@@ -85,12 +85,12 @@
 void MessageRules::Start(const Config& config, Micros now, bool folder_used) {
   RuleHistory::Spans spans;
   const LoadResult loaded = Load(spans);
-  known_ = loaded == LoadResult::kHistory || (loaded == LoadResult::kNoFile && !folder_used);
+  prior_rules_known_ = loaded == LoadResult::kHistory || (loaded == LoadResult::kNoFile && !folder_used);
   if (loaded == LoadResult::kHistory) {
     history_.Restore(std::move(spans), now);
     history_.Change(ClassesOf(config), now);
   } else {
-    history_.Begin(ClassesOf(config), now, known_ ? PriorRules::kNone : PriorRules::kUnknown);
+    history_.Begin(ClassesOf(config), now, prior_rules_known_ ? PriorRules::kNone : PriorRules::kUnknown);
   }
   saved_ = false;
 }
@@ -101,8 +101,8 @@
 
 void MessageRules::TakeOver(Micros now) {
   RuleHistory::Spans spans;
-  known_ = Load(spans) == LoadResult::kHistory;
-  if (known_) {
+  prior_rules_known_ = Load(spans) == LoadResult::kHistory;
+  if (prior_rules_known_) {
     history_.Merge(spans, now);
   } else {
     history_.AssumeStrictestBefore(now);
--- a/src/node/message_rules.h
+++ b/src/node/message_rules.h
@@ -32,7 +32,7 @@
   }
   // Whether the prior rules are known, by the latest of Start and TakeOver: the file was read whole, or at
   // Start there was none in a folder from which no process had served.
-  bool known() const { return known_; }
+  bool prior_rules_known() const { return prior_rules_known_; }
 
  private:
   enum class LoadResult { kNoFile, kHistory, kDamaged };
@@ -40,7 +40,7 @@
 
   const std::string path_;
   RuleHistory history_;
-  bool known_ = true, saved_ = false;
+  bool prior_rules_known_ = true, saved_ = false;
 };
 
 }  // namespace indigosaddle::node
--- a/src/node/node_journals.cpp
+++ b/src/node/node_journals.cpp
@@ -46,7 +46,7 @@
   }
   log_.Write(base::kJournalFound, bytes.size());
   rules_.Start(config_, started_at_, clock_.continued() || !bytes.empty());
-  if (!rules_.known()) log_.Write(base::kPriorRulesUnknown, config_.state_folder);
+  if (!rules_.prior_rules_known()) log_.Write(base::kPriorRulesUnknown, config_.state_folder);
   const bool is_owner = role == JournalFile::Role::kOwner;
   state::Serial highest_serial = 0;
   state::ParsedJournal owner_journal = ParseJournalBytes(bytes, highest_serial);
@@ -107,7 +107,7 @@
   Did(Action::kTakeOver);
   is_successor_ = false;
   rules_.TakeOver(loop_.Now());
-  if (!rules_.known()) log_.Write(base::kPriorRulesUnknown, config_.state_folder);
+  if (!rules_.prior_rules_known()) log_.Write(base::kPriorRulesUnknown, config_.state_folder);
   SaveRules();
   ShareJournalQuota(false);
   state::Serial highest_serial = 0;
--- a/tests/message_rules_test.cpp
+++ b/tests/message_rules_test.cpp
@@ -59,7 +59,7 @@
   ASSERT_TRUE(first.Save());
   MessageRules next(folder);
   next.Start(Safe(), kStart, true);
-  EXPECT_TRUE(next.known());
+  EXPECT_TRUE(next.prior_rules_known());
   EXPECT_EQ(RulesOfMessageAt(next, kStart).effect, Effect::kSafe);
   EXPECT_EQ(RulesAfterStart(RulesFileText(kSafeLine)).effect, Effect::kSafe);
 }
@@ -118,7 +118,7 @@
     std::filesystem::remove(folder + "/rules");
     if (damaged) WriteRules("rules 1\n2 2 0 0 80");
     successor.TakeOver(kStart + seconds(2));
-    EXPECT_FALSE(successor.known());
+    EXPECT_FALSE(successor.prior_rules_known());
     EXPECT_EQ(RulesOfMessageAt(successor, kStart + seconds(3)), kStrictestRules) << damaged;
     EXPECT_EQ(RulesOfMessageAt(successor, kStart + seconds(6)).effect, Effect::kSafe) << damaged;
   }
