--- a/src/node/config_changes.cpp
+++ b/src/node/config_changes.cpp
@@ -90,7 +90,7 @@
     sources_.platform = next.platform;
     SaveLastGood();
     ++reloads_;
-    if (changed) owner_.Adopt(std::move(adopted));
+    if (changed) owner_.ApplyConfig(std::move(adopted));
   } catch (const ConfigError& error) {
     return RejectReload(error);  // a change of the operator's file in the same reload is not applied either
   }
@@ -152,7 +152,7 @@
     // The trial begins before the change is adopted: what the change causes in its first turn, such as load
     // shedding, is part of the trial.
     if (!apply.undo) guard_.Begin(loop_.Now());
-    owner_.Adopt(WithRuntimeChanges(owner_.running(), *next));
+    owner_.ApplyConfig(WithRuntimeChanges(owner_.running(), *next));
   } else {
     for (const std::string& fault : faults) error += (error.empty() ? "" : "; ") + fault;
     // A rollback is not expected to fail, as the kept generation was valid when it came into force.
--- a/src/node/config_changes.h
+++ b/src/node/config_changes.h
@@ -35,7 +35,7 @@
     // Number of messages that the node holds of a class, or of a tenant. One of the two names is empty.
     virtual std::size_t HeldMessages(const std::string& message_class, const std::string& tenant) const = 0;
     // Puts the configuration in force as a whole, between two turns.
-    virtual void Adopt(Config next) = 0;
+    virtual void ApplyConfig(Config next) = 0;
   };
 
   ConfigChanges(net::Loop& loop, Owner& owner, StartupConfig startup, base::Log& log);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -117,7 +117,7 @@
   // ConfigChanges::Owner: access of configuration changes to the node.
   const Config& running() const override { return config_; }
   std::size_t HeldMessages(const std::string& message_class, const std::string& tenant) const override;
-  void Adopt(Config next) override;
+  void ApplyConfig(Config next) override;
 
   bool HasWaitingClient(state::Serial serial) const;
   bool NeedsFreshConnection(state::Serial serial) const;
--- a/src/node/node_operations.cpp
+++ b/src/node/node_operations.cpp
@@ -38,7 +38,7 @@
 
 // Puts a configuration in force. Called from the loop, never from within a turn. The turn that it runs
 // applies it everywhere: in the reducer, in the decision engine, and in what the engine decides on it.
-void Node::Adopt(Config next) {
+void Node::ApplyConfig(Config next) {
   Did(Action::kReloadConfiguration);
   const std::string old_address = config_.discovery;
   LogRuleChanges(next);
