--- a/src/net/resp_connection.cpp
+++ b/src/net/resp_connection.cpp
@@ -35,7 +35,7 @@
 }
 
 bool RespServer::Connection::JustAccepted() const {
-  return !has_asked() && reader_.between_commands() &&
+  return !has_sent_command() && reader_.between_commands() &&
          server_.loop_.Now() - accepted_at_ < resp::kFirstCommandGrace;
 }
 
@@ -46,7 +46,7 @@
     if (close_all) Linger(linger_reason_);
     return;
   }
-  const bool read_no_more = mode != RejectMode::kReadPending && has_asked();
+  const bool read_no_more = mode != RejectMode::kReadPending && has_sent_command();
   if (!close_all && !read_no_more && has_unread()) return;
   if (!close_all && JustAccepted()) return;
   if (!reader_.between_commands()) return CloseAfterReply("-BUSY\r\n", ClientCloseReason::kRejected);
@@ -63,7 +63,7 @@
   if (!NothingPending()) return std::nullopt;
   const bool active = now - last_activity_at_ < resp::kEvictStalledAfter;
   if (!reader_.between_commands()) return active ? std::nullopt : std::optional(3);
-  if (has_asked()) return last_reply_was_error_ ? 1 : 4;
+  if (has_sent_command()) return last_reply_was_error_ ? 1 : 4;
   return now - last_activity_at_ < resp::kNewClientGrace ? 5 : 2;
 }
 
@@ -84,9 +84,9 @@
     const bool late = inactive >= resp::kReadTimeout || now - command_started_at_ >= resp::kCommandTimeout;
     if (late && !has_unread())
       CloseAfterReply("-ERR the command did not end in time\r\n", ClientCloseReason::kErrorReply);
-  } else if (inactive >= (has_asked() ? resp::kIdleTimeout : resp::kFirstByteTimeout) &&
-             (slots_wanted || !has_asked()) && !has_unread()) {
-    Disconnect(has_asked() ? ClientCloseReason::kIdle : ClientCloseReason::kNoCommand);
+  } else if (inactive >= (has_sent_command() ? resp::kIdleTimeout : resp::kFirstByteTimeout) &&
+             (slots_wanted || !has_sent_command()) && !has_unread()) {
+    Disconnect(has_sent_command() ? ClientCloseReason::kIdle : ClientCloseReason::kNoCommand);
   }
 }
 
--- a/src/net/resp_connection.h
+++ b/src/net/resp_connection.h
@@ -29,7 +29,7 @@
   Micros accepted_at() const { return accepted_at_; }
   // Number of commands received.
   std::uint64_t commands() const { return last_command_; }
-  bool has_asked() const { return last_command_ > 0; }
+  bool has_sent_command() const { return last_command_ > 0; }
   bool has_unread() const { return stream_.unread() > 0; }
   bool ClosedByClient() const { return stream_.has_unread_end(); }
   // Its end was sent: what still arrives is read and dropped.
--- a/src/net/resp_server.cpp
+++ b/src/net/resp_server.cpp
@@ -163,7 +163,7 @@
   disconnecting_ = true;
   std::vector<std::uint64_t> idle;
   for (const auto& [id, connection] : connections_) {
-    if (connection->Idle() && (connection->has_asked() || (all && !connection->JustAccepted())))
+    if (connection->Idle() && (connection->has_sent_command() || (all && !connection->JustAccepted())))
       idle.push_back(id);
   }
   for (std::uint64_t id : idle) connections_.at(id)->Disconnect();
