--- a/src/node/node.h
+++ b/src/node/node.h
@@ -238,7 +238,7 @@
   std::array<std::uint64_t, net::kClientCloseReasons> client_close_reasons_{};
   std::uint64_t ambiguous_rules_ = 0;  // messages that more than one set of rules may apply to
   std::uint64_t accepted_ = 0, answered_busy_ = 0, answered_failed_ = 0, delivered_ = 0, returned_ = 0,
-                given_up_ = 0;
+                failed_ = 0;
   Micros started_at_{0};
   std::map<std::string, ClassCounts> counts_by_class_;  // since the start of the process
 };
--- a/src/node/node_log.cpp
+++ b/src/node/node_log.cpp
@@ -80,7 +80,7 @@
   using state::MessageResult;
   delivered_ += finished.result == MessageResult::kDelivered;
   returned_ += finished.result == MessageResult::kReturned;
-  given_up_ += finished.result == MessageResult::kFailed;
+  failed_ += finished.result == MessageResult::kFailed;
   if (finished.result == MessageResult::kWithdrawn) return;
   ClassCounts& counts = counts_by_class_[finished.message_class];
   ++(finished.result == MessageResult::kDelivered  ? counts.completed
--- a/src/node/node_metrics.cpp
+++ b/src/node/node_metrics.cpp
@@ -92,7 +92,7 @@
         {"failed", answered_failed_},
         {"delivered", delivered_},
         {"returned", returned_},
-        {"given_up", given_up_}}},
+        {"given_up", failed_}}},
       {"watch", shadow_evaluation_ ? shadow_evaluation_->Json() : nlohmann::json()},
       {"fleet", fleet_ ? fleet_->Json() : nlohmann::json()},
       {"clients", {{"now", server_.connections()}, {"most", MaxClientConnections(config_)}}},
