--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -57,7 +57,7 @@
   event.unreadable = std::move(update.unreadable);
   for (net::Member& member : update.members) {
     state::ListedEndpoint listed;
-    listed.endpoint.zone = zone_numbers_.Of(config_.zones, member.site, member.host);
+    listed.endpoint.zone = zone_numbers_.NumberFor(config_.zones, member.site, member.host);
     listed.endpoint.id = std::move(member.host);
     listed.endpoint.kind = NumberOf(config_.kinds, member.kind);
     listed.endpoint.destination = member.destination;
--- a/src/node/zone_numbers.h
+++ b/src/node/zone_numbers.h
@@ -14,7 +14,7 @@
  public:
   // The zone number of a listed endpoint. `zones` are the configured ones, by the site's name. A site that is
   // not configured is a zone of its own, and so is an endpoint for which the list names no site.
-  int Of(const std::map<std::string, int>& zones, const std::string& site, const std::string& host) {
+  int NumberFor(const std::map<std::string, int>& zones, const std::string& site, const std::string& host) {
     if (const auto it = zones.find(site); it != zones.end()) return it->second;
     const auto [at, first] =
         site.empty() ? by_host_.try_emplace(host, lowest_ - 1) : by_site_.try_emplace(site, lowest_ - 1);
--- a/tests/node_zone_numbers_test.cpp
+++ b/tests/node_zone_numbers_test.cpp
@@ -16,20 +16,20 @@
 // duplicates only its own zone recognises would be repeated in another zone.
 TEST(ZoneNumbers, SitesMissingInTheSettingsAreSeparateZones) {
   ZoneNumbers zones;
-  EXPECT_EQ(zones.Of(kZones, "a", "s-1"), 0);
-  EXPECT_EQ(zones.Of(kZones, "b", "s-2"), 1);
-  const int c = zones.Of(kZones, "c", "s-3"), d = zones.Of(kZones, "d", "s-4");
+  EXPECT_EQ(zones.NumberFor(kZones, "a", "s-1"), 0);
+  EXPECT_EQ(zones.NumberFor(kZones, "b", "s-2"), 1);
+  const int c = zones.NumberFor(kZones, "c", "s-3"), d = zones.NumberFor(kZones, "d", "s-4");
   EXPECT_EQ((std::set<int>{0, 1, kUnknownZone, c, d}).size(), 5u);
-  EXPECT_EQ(zones.Of(kZones, "c", "s-5"), c);
+  EXPECT_EQ(zones.NumberFor(kZones, "c", "s-5"), c);
 }
 
 // The same for endpoints without a site in the list.
 TEST(ZoneNumbers, EndpointWithoutASiteIsASeparateZone) {
   ZoneNumbers zones;
-  const int one = zones.Of(kZones, "", "s-1"), other = zones.Of(kZones, "", "s-2");
-  const int named = zones.Of(kZones, "s-1", "s-3");
+  const int one = zones.NumberFor(kZones, "", "s-1"), other = zones.NumberFor(kZones, "", "s-2");
+  const int named = zones.NumberFor(kZones, "s-1", "s-3");
   EXPECT_EQ((std::set<int>{0, 1, kUnknownZone, one, other, named}).size(), 6u);
-  EXPECT_EQ(zones.Of(kZones, "", "s-1"), one);
+  EXPECT_EQ(zones.NumberFor(kZones, "", "s-1"), one);
 }
 
 }  // namespace
