--- a/src/node/fleet_link.h
+++ b/src/node/fleet_link.h
@@ -21,7 +21,8 @@
 // Used on the node's loop only. The loop and the log must outlive it.
 class FleetLink {
  public:
-  // `on_change` is called on the loop after a snapshot was published or events were added.
+  // `on_change` is called on the loop after a snapshot was published. The fleet's events are logged before
+  // each such call; an event that comes without a new snapshot waits for the next one.
   FleetLink(net::Loop& loop, const Config& config, base::Log& log, std::function<void()> on_change);
 
   // Starts the fleet's thread. Returns the reason for a failure; empty on success.
