--- a/src/net/member_list.cpp
+++ b/src/net/member_list.cpp
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-constexpr double kMaxShare = 1e9;  // calls a second; a larger value is not plausible
+constexpr double kMaxRateLimit = 1e9;  // calls a second; a larger value is not plausible
 
 std::string TextField(const json& entry, const char* name) {
   const auto it = entry.find(name);
@@ -30,18 +30,18 @@
 }
 
 // Zero if there is no valid value: the least that a destination may be assumed to take.
-double ReadShare(const json& entry) {
-  const auto share = entry.find("share");
-  if (share == entry.end() || !share->is_number()) return 0;
-  const double rate = share->get<double>();
-  return rate > 0 && rate <= kMaxShare ? rate : 0;
+double ReadRateLimit(const json& entry) {
+  const auto rate_limit = entry.find("share");
+  if (rate_limit == entry.end() || !rate_limit->is_number()) return 0;
+  const double rate = rate_limit->get<double>();
+  return rate > 0 && rate <= kMaxRateLimit ? rate : 0;
 }
 
-std::optional<Health> ReadHealth(const json& entry) {
+std::optional<ReportedHealth> ReadHealth(const json& entry) {
   const std::string text = TextField(entry, "health");
-  if (text == "Ready") return Health::kReady;
-  if (text == "Terminating") return Health::kTerminating;
-  if (text == "Gone") return Health::kGone;
+  if (text == "Ready") return ReportedHealth::kReady;
+  if (text == "Terminating") return ReportedHealth::kTerminating;
+  if (text == "Gone") return ReportedHealth::kGone;
   return std::nullopt;
 }
 
@@ -54,20 +54,22 @@
   if (!IsHost(host)) return "a host that is not visible ASCII";
   member.host = std::move(host);
   if (entry.contains(kDuplicateNameMark)) return "a part given twice";
-  member.dial = TextField(entry, "dial");
+  member.address = TextField(entry, "dial");
   member.site = TextField(entry, "site");
   member.kind = TextField(entry, "class");
-  member.share = ReadShare(entry);
-  const auto block = entry.find("block");
-  if (block == entry.end() || !block->is_number_integer() || (!block->is_number_unsigned() && *block < 0)) {
+  member.rate_limit = ReadRateLimit(entry);
+  const auto destination = entry.find("block");
+  if (destination == entry.end() || !destination->is_number_integer() ||
+      (!destination->is_number_unsigned() && *destination < 0)) {
     return "no block";
   }
-  member.block = block->get<std::uint64_t>();
-  const std::optional<Health> health = ReadHealth(entry);
+  member.destination = destination->get<std::uint64_t>();
+  const std::optional<ReportedHealth> health = ReadHealth(entry);
   if (!health) return "unknown health";
   member.health = *health;
-  sockaddr_storage address{};
-  if (member.health != Health::kGone && !ParseAddress(member.dial, address)) return "no address to dial";
+  sockaddr_storage parsed_address{};
+  if (member.health != ReportedHealth::kGone && !ParseAddress(member.address, parsed_address))
+    return "no address to dial";
   return {};
 }
 
@@ -110,16 +112,16 @@
   }
 
   // Merges a second entry of a host. If the entries describe different endpoints, neither is used. Of two
-  // health states the worse one counts, and of two shares the smaller one.
+  // health states the worse one counts, and of two rate limits the smaller one.
   void Merge(std::size_t& index, const Member& second) {
     Member& first = update_.members[index];
-    if (first.dial != second.dial || first.site != second.site || first.kind != second.kind ||
-        first.block != second.block) {
+    if (first.address != second.address || first.site != second.site || first.kind != second.kind ||
+        first.destination != second.destination) {
       return MarkUnreadable(index, second.host);
     }
     update_.incomplete |= first.health != second.health;
     first.health = std::max(first.health, second.health);
-    first.share = std::min(first.share, second.share);
+    first.rate_limit = std::min(first.rate_limit, second.rate_limit);
   }
 
   MemberListUpdate update_;
--- a/src/net/member_list.h
+++ b/src/net/member_list.h
@@ -10,15 +10,17 @@
 namespace indigosaddle::net {
 
 // The health of an endpoint, as discovery reports it.
-enum class Health : std::uint8_t { kReady, kTerminating, kGone };
+enum class ReportedHealth : std::uint8_t { kReady, kTerminating, kGone };
 
-// An entry of the list: one endpoint, under the names that discovery uses.
+// An entry of the list: one endpoint. Some members are named differently from the fields of discovery's JSON.
 struct Member {
-  // `host`: the endpoint's id. `dial`: the address to connect to, as "ip:port". `kind`: discovery's "class".
-  std::string host, dial, site, kind;
-  std::uint64_t block = 0;  // the endpoint's destination
-  double share = 0;         // calls a second that its destination takes (Settings::weights); 0: not reported
-  Health health = Health::kReady;
+  // `host`: the endpoint's id. `address`: discovery's "dial", the address to connect to, as "ip:port".
+  // `kind`: discovery's "class".
+  std::string host, address, site, kind;
+  std::uint64_t destination = 0;  // discovery's "block"
+  // Calls a second that its destination takes (Settings::weights): discovery's "share". 0: not reported.
+  double rate_limit = 0;
+  ReportedHealth health = ReportedHealth::kReady;
 };
 
 // What one text of discovery says: the whole list, or a change of it.
--- a/src/node/config_changes.cpp
+++ b/src/node/config_changes.cpp
@@ -21,23 +21,22 @@
 
 }  // namespace
 
-ConfigChanges::ConfigChanges(net::Loop& loop, Owner& owner, StartupConfig beginning, base::Log& log)
+ConfigChanges::ConfigChanges(net::Loop& loop, Owner& owner, StartupConfig startup, base::Log& log)
     : loop_(loop),
       owner_(owner),
       log_(log),
-      sources_(std::move(beginning.sources)),
-      last_good_(beginning.config.state_folder),
-      operators_path_(std::move(beginning.operators_path)),
-      step_(beginning.step ? std::move(beginning.step) : [](const char*) {}),
-      transactions_(TransactionRulesOf(beginning.config)),
-      guard_(beginning.config.guard_rules),
-      start_history_(std::move(beginning.history)),
-      start_error_(std::move(beginning.load_errors)),
+      sources_(std::move(startup.sources)),
+      last_good_(startup.config.state_folder),
+      operators_path_(std::move(startup.operators_path)),
+      step_(startup.step ? std::move(startup.step) : [](const char*) {}),
+      transactions_(TransactionRulesOf(startup.config)),
+      guard_(startup.config.guard_rules),
+      start_history_(std::move(startup.history)),
+      start_error_(std::move(startup.load_errors)),
       transaction_timer_(loop, [this] { HandleEvent(config::TimerFired{loop_.Now()}); }),
       guard_timer_(loop, [this] { CheckGuard(); }) {
   if (sources_.operators_file.given) {
-    store_ =
-        std::make_unique<config::Store>(beginning.config.state_folder, beginning.config.disk_bytes, step_);
+    store_ = std::make_unique<config::Store>(startup.config.state_folder, startup.config.disk_bytes, step_);
   }
 }
 
@@ -91,7 +90,7 @@
     sources_.platform = next.platform;
     SaveLastGood();
     ++reloads_;
-    if (changed) owner_.Adopt(std::move(adopted));
+    if (changed) owner_.ApplyConfig(std::move(adopted));
   } catch (const ConfigError& error) {
     return RejectReload(error);  // a change of the operator's file in the same reload is not applied either
   }
@@ -153,7 +152,7 @@
     // The trial begins before the change is adopted: what the change causes in its first turn, such as load
     // shedding, is part of the trial.
     if (!apply.undo) guard_.Begin(loop_.Now());
-    owner_.Adopt(WithRuntimeChanges(owner_.running(), *next));
+    owner_.ApplyConfig(WithRuntimeChanges(owner_.running(), *next));
   } else {
     for (const std::string& fault : faults) error += (error.empty() ? "" : "; ") + fault;
     // A rollback is not expected to fail, as the kept generation was valid when it came into force.
@@ -200,20 +199,20 @@
   if (!node.empty()) node.mapped()({{"ok", answer.ok}, {"generation", answer.number}, {"text", answer.text}});
 }
 
-void ConfigChanges::CarryOut(const config::WriteLog& tell) {
+void ConfigChanges::CarryOut(const config::WriteLog& entry) {
   using enum config::LogKind;
   // The rules for trials come from the configuration that is now in force, also if it is on trial itself. A
   // guard whose trial is under way keeps the rules that the trial began with.
   transactions_.SetRules(TransactionRulesOf(owner_.running()));
   guard_.SetRules(owner_.running().guard_rules);
-  switch (tell.kind) {
-    case kRefused: return log_.Write(base::kConfigRefused, tell.author, tell.text);
+  switch (entry.kind) {
+    case kRefused: return log_.Write(base::kConfigRefused, entry.author, entry.text);
     case kOnTrial:
-      return log_.Write(base::kConfigOnTrial, tell.number, tell.author, tell.text,
+      return log_.Write(base::kConfigOnTrial, entry.number, entry.author, entry.text,
                         owner_.running().guard_rules.trial);
-    case kKept: step_("config.kept"); return log_.Write(base::kConfigAccepted, tell.number, tell.text);
-    case kUndone: return log_.Write(base::kConfigRolledBack, tell.number, tell.back_to, tell.text);
-    case kInterrupted: return log_.Write(base::kConfigTrialInterrupted, tell.number, tell.text);
+    case kKept: step_("config.kept"); return log_.Write(base::kConfigAccepted, entry.number, entry.text);
+    case kUndone: return log_.Write(base::kConfigRolledBack, entry.number, entry.back_to, entry.text);
+    case kInterrupted: return log_.Write(base::kConfigTrialInterrupted, entry.number, entry.text);
     case kStoreFailed: return;  // logged when the store failed
   }
 }
--- a/src/node/config_changes.h
+++ b/src/node/config_changes.h
@@ -35,10 +35,10 @@
     // Number of messages that the node holds of a class, or of a tenant. One of the two names is empty.
     virtual std::size_t HeldMessages(const std::string& message_class, const std::string& tenant) const = 0;
     // Puts the configuration in force as a whole, between two turns.
-    virtual void Adopt(Config next) = 0;
+    virtual void ApplyConfig(Config next) = 0;
   };
 
-  ConfigChanges(net::Loop& loop, Owner& owner, StartupConfig beginning, base::Log& log);
+  ConfigChanges(net::Loop& loop, Owner& owner, StartupConfig startup, base::Log& log);
 
   // Logs what the process starts with and begins to handle changes. Called once, before everything else.
   void Start();
@@ -57,7 +57,7 @@
   // the next process.
   void Freeze();
   // Counts the outcome of one message for the guard.
-  void Count(config::GuardOutcome sign, Micros now) { guard_.Count(sign, now); }
+  void Count(config::GuardOutcome outcome, Micros now) { guard_.Count(outcome, now); }
 
   // Receives the answer to one request, as a JSON object.
   using Answer = std::function<void(nlohmann::json)>;
@@ -85,7 +85,7 @@
   void CarryOut(const config::CancelTrial&);
   void CarryOut(const config::ArmTimer& timer);
   void CarryOut(const config::Answer& answer);
-  void CarryOut(const config::WriteLog& tell);
+  void CarryOut(const config::WriteLog& entry);
 
   // Checks an operator's document against the running configuration and the messages held. Returns the
   // configuration that it makes, or nothing, with `faults`, if it may not be applied. For a rollback (`undo`)
--- a/src/node/node_events.cpp
+++ b/src/node/node_events.cpp
@@ -57,15 +57,15 @@
   event.unreadable = std::move(update.unreadable);
   for (net::Member& member : update.members) {
     state::ListedEndpoint listed;
-    listed.endpoint.zone = zone_numbers_.Of(config_.zones, member.site, member.host);
+    listed.endpoint.zone = zone_numbers_.NumberFor(config_.zones, member.site, member.host);
     listed.endpoint.id = std::move(member.host);
     listed.endpoint.kind = NumberOf(config_.kinds, member.kind);
-    listed.endpoint.destination = member.block;
-    listed.endpoint.weight = member.share;
-    listed.endpoint.state = member.health == net::Health::kReady         ? EndpointState::kReady
-                            : member.health == net::Health::kTerminating ? EndpointState::kDraining
-                                                                         : EndpointState::kGone;
-    listed.dial = std::move(member.dial);
+    listed.endpoint.destination = member.destination;
+    listed.endpoint.weight = member.rate_limit;
+    listed.endpoint.state = member.health == net::ReportedHealth::kReady         ? EndpointState::kReady
+                            : member.health == net::ReportedHealth::kTerminating ? EndpointState::kDraining
+                                                                                 : EndpointState::kGone;
+    listed.address = std::move(member.address);
     event.entries.push_back(std::move(listed));
   }
   Push(std::move(event));
@@ -107,7 +107,7 @@
 void Node::OnCallEnded(const net::CallResult& result) {
   ++attempt_results_[static_cast<std::size_t>(result.attempt_result)];
   LogCall(result);
-  Push(state::CallEnded{result.serial, result.attempt_result, result.latency, result.wait, result.load,
+  Push(state::CallEnded{result.serial, result.attempt_result, result.latency, result.retry_after, result.load,
                         loop_.Now()});
 }
 
--- a/src/node/node_journals.cpp
+++ b/src/node/node_journals.cpp
@@ -46,7 +46,7 @@
   }
   log_.Write(base::kJournalFound, bytes.size());
   rules_.Start(config_, started_at_, clock_.continued() || !bytes.empty());
-  if (!rules_.known()) log_.Write(base::kPriorRulesUnknown, config_.state_folder);
+  if (!rules_.prior_rules_known()) log_.Write(base::kPriorRulesUnknown, config_.state_folder);
   const bool is_owner = role == JournalFile::Role::kOwner;
   state::Serial highest_serial = 0;
   state::ParsedJournal owner_journal = ParseJournalBytes(bytes, highest_serial);
@@ -59,7 +59,7 @@
   // A successor that died before its take-over left its own file to the next process.
   std::string next_bytes;
   error.clear();
-  if ((!is_owner || journal_.next_is_abandoned()) &&
+  if ((!is_owner || journal_.next_is_leftover()) &&
       !journal_.ReadNext(MaxReadJournalBytes(config_), next_bytes, error)) {
     log_.Write(base::kStateFolderUnusable, config_.state_folder, error);
     return false;
@@ -107,7 +107,7 @@
   Did(Action::kTakeOver);
   is_successor_ = false;
   rules_.TakeOver(loop_.Now());
-  if (!rules_.known()) log_.Write(base::kPriorRulesUnknown, config_.state_folder);
+  if (!rules_.prior_rules_known()) log_.Write(base::kPriorRulesUnknown, config_.state_folder);
   SaveRules();
   ShareJournalQuota(false);
   state::Serial highest_serial = 0;
--- a/src/node/node_log.cpp
+++ b/src/node/node_log.cpp
@@ -80,7 +80,7 @@
   using state::MessageResult;
   delivered_ += finished.result == MessageResult::kDelivered;
   returned_ += finished.result == MessageResult::kReturned;
-  given_up_ += finished.result == MessageResult::kFailed;
+  failed_ += finished.result == MessageResult::kFailed;
   if (finished.result == MessageResult::kWithdrawn) return;
   ClassCounts& counts = counts_by_class_[finished.message_class];
   ++(finished.result == MessageResult::kDelivered  ? counts.completed
@@ -110,11 +110,11 @@
   const std::string rules = Describe(pending.message.rules);
   if (result.attempt_result == state::AttemptResult::kDelivered) {
     log_.Write(base::kCallDelivered, pending.message.id, pending.message.destination, pending.endpoint,
-               attempt, state::NameOf(result.attempt_result), result.latency, result.wait, rules,
+               attempt, state::NameOf(result.attempt_result), result.latency, result.retry_after, rules,
                result.connection.number, result.connection.calls, result.connection.age);
   } else {
     log_.Write(base::kCallEnded, pending.message.id, pending.message.destination, pending.endpoint, attempt,
-               state::NameOf(result.attempt_result), result.latency, result.wait, rules,
+               state::NameOf(result.attempt_result), result.latency, result.retry_after, rules,
                result.connection.number, result.connection.calls, result.connection.age);
   }
 }
