--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -57,7 +57,7 @@
   }
   fleet.start = fleet.memory.start = std::max(fleet.memory.start + 1, WallMillis());
   if (!file_.Write(fleet.memory)) return "fleet.memory cannot be written in the state folder";
-  fleet_ = std::make_unique<Fleet>(std::move(fleet), clock_.Now());
+  fleet_ = std::make_unique<FleetMember>(std::move(fleet), clock_.Now());
   transport_ = std::make_unique<Transport>(loop_, static_cast<Transport::Handler&>(*this), options_.roster,
                                            options_.name, counters_);
   if (std::string reason = transport_->Listen(options_.listen); !reason.empty()) return reason;
--- a/src/fleet/agent.h
+++ b/src/fleet/agent.h
@@ -1,6 +1,6 @@
-// Runs a Fleet (fleet.h) on real sockets: one thread with its own event loop feeds packets and the time into
-// the state machine, sends its packets, keeps the voter's memory on disk and publishes snapshots. No protocol
-// decision is made here.
+// Runs a FleetMember (fleet.h) on real sockets: one thread with its own event loop feeds packets and the time
+// into the state machine, sends its packets, keeps the voter's memory on disk and publishes snapshots. No
+// protocol decision is made here.
 #pragma once
 
 #include <atomic>
@@ -68,7 +68,7 @@
 
   // The following may be called from any thread.
 
-  // See Fleet::SetLocalConditions.
+  // See FleetMember::SetLocalConditions.
   void SetLocalConditions(bool list, bool clients) {
     list_ = list;
     clients_ = clients;
@@ -105,7 +105,7 @@
   net::Loop loop_;
   // The only libuv handle that other threads may touch.
   std::unique_ptr<net::Wakeup> close_request_;
-  std::unique_ptr<Fleet> fleet_;
+  std::unique_ptr<FleetMember> fleet_;
   std::unique_ptr<Transport> transport_;
   std::unique_ptr<net::Timer> tick_;
   std::thread thread_;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-Fleet::Fleet(FleetOptions options, Micros now)
+FleetMember::FleetMember(FleetOptions options, Micros now)
     : options_(WithMixedSeed(std::move(options))),
       voters_(VoterNames(options_.roster, "")),
       votes_(std::find(voters_.begin(), voters_.end(), options_.name) != voters_.end()),
@@ -62,7 +62,7 @@
   it->second.SetWanted(true, now, none);
 }
 
-Packet Fleet::Make(PacketKind kind) const {
+Packet FleetMember::Make(PacketKind kind) const {
   Packet packet;
   const MemberUpdate self = members_.Self();
   packet.kind = kind;
@@ -73,8 +73,8 @@
   return packet;
 }
 
-void Fleet::Send(PacketKind kind, const std::string& to, std::uint64_t seq, const std::string& target,
-                 Actions& actions) {
+void FleetMember::Send(PacketKind kind, const std::string& to, std::uint64_t seq, const std::string& target,
+                       Actions& actions) {
   Packet packet = Make(kind);
   packet.seq = seq;
   packet.target = target;
@@ -89,12 +89,12 @@
   actions.packets.emplace_back(to, std::move(packet));
 }
 
-void Fleet::Dispatch(const Prober::ProbeMessages& messages, Actions& actions) {
+void FleetMember::Dispatch(const Prober::ProbeMessages& messages, Actions& actions) {
   for (const Prober::ProbeMessage& message : messages)
     Send(message.kind, message.to, message.seq, message.target, actions);
 }
 
-void Fleet::Tick(Micros now, Actions& actions) {
+void FleetMember::Tick(Micros now, Actions& actions) {
   // The tick comes long after it was due: this process stood still. Answers that it missed meanwhile are no
   // evidence against the others.
   const Micros gap = now - std::max(last_tick_, std::min(NextDue(), now));
@@ -144,7 +144,7 @@
   Coordinate(now);
 }
 
-Micros Fleet::NextDue() const {
+Micros FleetMember::NextDue() const {
   Micros due = std::min({prober_.NextDue(), quorum_contact_.NextDue(), exchange_at_, members_.NextExpiry()});
   if (in_contact_ && !Refreshed()) due = std::min(due, refresh_at_);
   if (in_contact_)
@@ -155,14 +155,14 @@
   return due;
 }
 
-void Fleet::Merge(const Packet& packet, Micros now) {
+void FleetMember::Merge(const Packet& packet, Micros now) {
   members_.Apply({packet.from, packet.start, packet.incarnation, Liveness::kAlive, ""}, now);
   for (const MemberUpdate& update : packet.members) members_.Apply(update, now);
   for (const Fact& fact : packet.facts)
     if (facts_.Merge(fact)) gossip_.Add(fact);
 }
 
-void Fleet::OnPacket(const Packet& packet, Micros now, Actions& actions) {
+void FleetMember::OnPacket(const Packet& packet, Micros now, Actions& actions) {
   if (packet.from == options_.name || !members_.Knows(packet.from)) return;
   // The packet is from an earlier process of its sender, delayed on the network, or the sender's start
   // numbers began anew. In the second case, once the process with the higher number counts as dead, the
@@ -201,7 +201,7 @@
   Dispatch(probes, actions);
 }
 
-Packet Fleet::ExchangePacket(bool answer) const {
+Packet FleetMember::ExchangePacket(bool answer) const {
   Packet packet = Make(answer ? PacketKind::kExchangeReply : PacketKind::kExchange);
   for (const auto& [name, member] : members_.all())
     if (member.known) packet.members.push_back(member.latest);
@@ -209,7 +209,7 @@
   return packet;
 }
 
-void Fleet::Leave(Micros now, Actions& actions) {
+void FleetMember::Leave(Micros now, Actions& actions) {
   leaving_ = true;
   members_.Leave();
   Proposer::LeaseMessages messages;
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -43,7 +43,7 @@
 // Key of the fact that holds the agreed number of senders.
 inline constexpr char kSendersFact[] = "senders";
 
-// Configuration and initial state of a Fleet.
+// Configuration and initial state of a FleetMember.
 struct FleetOptions {
   std::string name;
   // Start number of this process: higher than that of every earlier process of the name, as far as known.
@@ -60,9 +60,9 @@
 };
 
 // State machine of one member. All times are of one steady clock of the process.
-class Fleet {
+class FleetMember {
  public:
-  Fleet(FleetOptions options, Micros now);
+  FleetMember(FleetOptions options, Micros now);
 
   // Does what is due at `now`; appends what is to be sent to `actions`.
   void Tick(Micros now, Actions& actions);
--- a/src/fleet/fleet_agreed.cpp
+++ b/src/fleet/fleet_agreed.cpp
@@ -1,4 +1,4 @@
-// The part of Fleet that concerns leases, connectivity, agreed facts and the snapshot.
+// The part of FleetMember that concerns leases, connectivity, agreed facts and the snapshot.
 #include <algorithm>
 
 #include "fleet/fleet.h"
@@ -7,7 +7,7 @@
 
 // Messages to this process itself are answered at once, the others are sent. Answers may produce further
 // messages.
-void Fleet::Dispatch(const Proposer::LeaseMessages& messages, Micros now, Actions& actions) {
+void FleetMember::Dispatch(const Proposer::LeaseMessages& messages, Micros now, Actions& actions) {
   Proposer::LeaseMessages more;
   for (const auto& [to, message] : messages) {
     if (to == options_.name) {
@@ -23,24 +23,24 @@
   if (!more.empty()) Dispatch(more, now, actions);
 }
 
-bool Fleet::FilesDiffer(Micros now) const {
+bool FleetMember::FilesDiffer(Micros now) const {
   return voters_differed_at_ && now - *voters_differed_at_ < 2 * options_.timing.lease;
 }
 
-bool Fleet::MayHoldLeases(Micros now) const {
+bool FleetMember::MayHoldLeases(Micros now) const {
   return !leaving_ && !members_.superseded() && !FilesDiffer(now);
 }
 
-bool Fleet::InQuorumContact(Micros now) const {
+bool FleetMember::InQuorumContact(Micros now) const {
   const auto confirmed = quorum_contact_.LastConfirmed(now);
   return confirmed && now - *confirmed <= options_.timing.lease;
 }
 
-bool Fleet::Refreshed() const { return (refreshed_.size() + (votes_ ? 1 : 0)) * 2 > voters_.size(); }
+bool FleetMember::Refreshed() const { return (refreshed_.size() + (votes_ ? 1 : 0)) * 2 > voters_.size(); }
 
 // After contact with a majority is regained, what is agreed may have changed meanwhile. So this process does
 // not count as connected until a majority of the voters has sent all it knows; here it asks for that.
-void Fleet::Refresh(Micros now, Actions& actions) {
+void FleetMember::Refresh(Micros now, Actions& actions) {
   const bool in_contact = InQuorumContact(now);
   if (in_contact != in_contact_) {
     refreshed_.clear();
@@ -54,7 +54,7 @@
     if (voter != options_.name && !refreshed_.contains(voter)) actions.exchanges.push_back(voter);
 }
 
-void Fleet::OnLeases(const Packet& packet, Micros now, Actions& actions) {
+void FleetMember::OnLeases(const Packet& packet, Micros now, Actions& actions) {
   Proposer::LeaseMessages messages;
   Packet answers = Make(PacketKind::kLease);
   for (const LeaseMessage& message : packet.leases) {
@@ -85,7 +85,7 @@
 
 // Number of members that may be sending: those present, and those declared dead less than a lease's term ago.
 // Those that have left do not count.
-std::size_t Fleet::Senders(Micros now) const {
+std::size_t FleetMember::Senders(Micros now) const {
   std::size_t count = 1;
   for (const auto& [name, member] : members_.all()) {
     const bool may_linger = member.known && member.latest.liveness == Liveness::kDead &&
@@ -96,7 +96,7 @@
 }
 
 // Where this member holds the coordinator's lease, it writes the agreed facts.
-void Fleet::Coordinate(Micros now) {
+void FleetMember::Coordinate(Micros now) {
   const auto leases = Leases(now);
   const auto it = leases.find(kCoordinator);
   if (it == leases.end()) return;
@@ -104,7 +104,7 @@
   CoordinateSites(it->second.epoch, now);
 }
 
-std::map<std::string, LeaseView> Fleet::Leases(Micros now) const {
+std::map<std::string, LeaseView> FleetMember::Leases(Micros now) const {
   std::map<std::string, LeaseView> leases;
   for (const auto& [resource, proposer] : proposers_) {
     if (proposer.Holds(now) && MayHoldLeases(now)) leases[resource] = {proposer.epoch(), proposer.until()};
@@ -112,7 +112,7 @@
   return leases;
 }
 
-Snapshot Fleet::View(Micros now) const {
+Snapshot FleetMember::View(Micros now) const {
   Snapshot view;
   view.quorum_confirmed_at = quorum_contact_.LastConfirmed(now);
   view.connectivity = in_contact_ && InQuorumContact(now) && Refreshed() ? Connectivity::kConnected
--- a/src/fleet/fleet_sites.cpp
+++ b/src/fleet/fleet_sites.cpp
@@ -1,5 +1,5 @@
-// The part of Fleet that concerns sites: a member's own observations, and the coordinator's decisions from
-// the observations of all.
+// The part of FleetMember that concerns sites: a member's own observations, and the coordinator's decisions
+// from the observations of all.
 #include <algorithm>
 
 #include "fleet/fleet.h"
@@ -12,14 +12,14 @@
 
 }  // namespace
 
-void Fleet::SetLocalConditions(bool list, bool clients) {
+void FleetMember::SetLocalConditions(bool list, bool clients) {
   has_list_ = list;
   has_clients_ = clients;
 }
 
 // Writes this member's observation as a fact whose epoch is its start number: nobody else writes it, and the
 // fact of a later process overrides that of an earlier one.
-void Fleet::PublishObservation(Micros now) {
+void FleetMember::PublishObservation(Micros now) {
   MemberObservation observation;
   observation.in_contact = in_contact_ && InQuorumContact(now);
   observation.has_list = has_list_;
@@ -34,7 +34,7 @@
 }
 
 // Counts the observations of all members, for every site.
-std::map<std::string, SiteTally> Fleet::TallySites() const {
+std::map<std::string, SiteTally> FleetMember::TallySites() const {
   std::map<std::string, SiteTally> tallies;
   for (const Peer& peer : options_.roster) ++tallies[peer.site].members;
   const auto count = [&](const std::string& name, const std::string& at, bool present) {
@@ -61,7 +61,7 @@
   return tallies;
 }
 
-void Fleet::CoordinateSites(std::uint64_t epoch, Micros now) {
+void FleetMember::CoordinateSites(std::uint64_t epoch, Micros now) {
   for (const auto& [site, tally] : TallySites()) {
     const Fact* held = facts_.Find(SiteKey(site));
     if (held != nullptr && held->epoch > epoch) continue;
@@ -72,7 +72,7 @@
 
 // Writes a fact where its value is new: one of this member's own, or one under a lease that it holds. The
 // version counts within the epoch.
-void Fleet::Write(const std::string& key, const std::string& value, std::uint64_t epoch) {
+void FleetMember::Write(const std::string& key, const std::string& value, std::uint64_t epoch) {
   const Fact* held = facts_.Find(key);
   Fact fact{key, options_.name, value, epoch, 1};
   if (held != nullptr && held->epoch > epoch) return;  // a later holder has written it: this lease is over
@@ -83,7 +83,7 @@
   if (facts_.Merge(fact)) gossip_.Add(fact);
 }
 
-std::map<std::string, SiteStatus> Fleet::SitesAgreed() const {
+std::map<std::string, SiteStatus> FleetMember::SitesAgreed() const {
   std::map<std::string, SiteStatus> sites;
   for (const Peer& peer : options_.roster) {
     const Fact* fact = facts_.Find(SiteKey(peer.site));
--- a/tests/fleet/lease_explorer.h
+++ b/tests/fleet/lease_explorer.h
@@ -116,7 +116,7 @@
   }
   static Acceptor& VoterOf(State& state, int i) { return state.acceptors[static_cast<std::size_t>(i)]; }
 
-  // Messages to itself are answered at once, as Fleet does; others go into the network.
+  // Messages to itself are answered at once, as FleetMember does; others go into the network.
   void Dispatch(State& state, int from, const Proposer::LeaseMessages& messages) const {
     Proposer::LeaseMessages more;
     Proposer& own = state.proposers[static_cast<std::size_t>(from)];
--- a/tests/fleet/world.h
+++ b/tests/fleet/world.h
@@ -42,7 +42,7 @@
         std::max(node.memory.start + 1, static_cast<std::uint64_t>(now_.count()) + 1);
     options.floor = static_cast<std::uint64_t>(now_.count() / 1000000);
     node.memory = options.memory;
-    node.fleet = std::make_unique<Fleet>(options, LocalTime(i));
+    node.fleet = std::make_unique<FleetMember>(options, LocalTime(i));
     ++node.generation;
     Wake(i, now_);
   }
@@ -130,7 +130,7 @@
     }
     return true;
   }
-  const Fleet& At(int i) const { return *nodes_[static_cast<std::size_t>(i)].fleet; }
+  const FleetMember& At(int i) const { return *nodes_[static_cast<std::size_t>(i)].fleet; }
   Snapshot View(int i) const { return nodes_[static_cast<std::size_t>(i)].fleet->View(LocalTime(i)); }
   bool Up(int i) const { return nodes_[static_cast<std::size_t>(i)].fleet != nullptr; }
   bool Frozen(int i) const { return now_ < nodes_[static_cast<std::size_t>(i)].frozen_until; }
@@ -161,7 +161,7 @@
 
  private:
   struct Node {
-    std::unique_ptr<Fleet> fleet;
+    std::unique_ptr<FleetMember> fleet;
     VoterMemory memory;
     int generation = 0, wake_number = 0;
     double rate = 1;
