--- a/src/fleet/agent.h
+++ b/src/fleet/agent.h
@@ -92,7 +92,7 @@
   PublishedSnapshot& published_;
   const std::function<void()> on_change_;
   const SteadyClock clock_;
-  const MemoryFile file_;
+  const VoterMemoryFile file_;
   Counters counters_;
   Mailbox<FleetEvent> events_;
   Snapshot last_published_;
--- a/src/fleet/memory_file.cpp
+++ b/src/fleet/memory_file.cpp
@@ -24,9 +24,10 @@
 
 }  // namespace
 
-MemoryFile::MemoryFile(const std::string& folder) : folder_(folder), path_(folder + "/fleet.memory") {}
+VoterMemoryFile::VoterMemoryFile(const std::string& folder)
+    : folder_(folder), path_(folder + "/fleet.memory") {}
 
-std::string MemoryFile::Serialize(const VoterMemory& memory) {
+std::string VoterMemoryFile::Serialize(const VoterMemory& memory) {
   json promised = json::array();
   for (const auto& [resource, ballot] : memory.promised)
     promised.push_back({resource, ballot.counter, ballot.proposer, ballot.start});
@@ -35,7 +36,7 @@
   return json{{"body", body}, {"sum", Sum(body.dump())}}.dump() + "\n";
 }
 
-bool MemoryFile::Parse(std::string_view text, VoterMemory& memory) {
+bool VoterMemoryFile::Parse(std::string_view text, VoterMemory& memory) {
   try {
     const json whole = json::parse(text);
     const json& body = whole.at("body");
@@ -54,7 +55,7 @@
   }
 }
 
-bool MemoryFile::Read(VoterMemory& memory, std::string& trouble) const {
+bool VoterMemoryFile::Read(VoterMemory& memory, std::string& trouble) const {
   trouble.clear();
   const base::Descriptor file(open(path_.c_str(), O_RDONLY | O_CLOEXEC));
   if (file.get() < 0) {
@@ -74,7 +75,7 @@
   return false;
 }
 
-bool MemoryFile::Write(const VoterMemory& memory) const {
+bool VoterMemoryFile::Write(const VoterMemory& memory) const {
   const std::string beside = path_ + ".new";
   {
     const base::Descriptor file(open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
--- a/src/fleet/memory_file.h
+++ b/src/fleet/memory_file.h
@@ -11,9 +11,9 @@
 
 namespace indigosaddle::fleet {
 
-class MemoryFile {
+class VoterMemoryFile {
  public:
-  explicit MemoryFile(const std::string& folder);
+  explicit VoterMemoryFile(const std::string& folder);
 
   // Reads the file. Returns true where it was whole; else `trouble` says what is wrong with it, and is empty
   // where there is no file.
--- a/tests/fleet/fleet_wire_test.cpp
+++ b/tests/fleet/fleet_wire_test.cpp
@@ -179,7 +179,7 @@
   const std::string folder = ::testing::TempDir() + "fleet-memory";
   std::filesystem::remove_all(folder);
   std::filesystem::create_directories(folder);
-  const MemoryFile file(folder);
+  const VoterMemoryFile file(folder);
   VoterMemory memory, read;
   std::string trouble;
   EXPECT_FALSE(file.Read(read, trouble));
@@ -189,15 +189,15 @@
   ASSERT_TRUE(file.Write(memory));
   ASSERT_TRUE(file.Read(read, trouble)) << trouble;
   EXPECT_TRUE(read == memory);
-  const std::string text = MemoryFile::Serialize(memory);
+  const std::string text = VoterMemoryFile::Serialize(memory);
   for (std::size_t cut = 0; cut < text.size() - 1; ++cut)
-    EXPECT_FALSE(MemoryFile::Parse(text.substr(0, cut), read));
+    EXPECT_FALSE(VoterMemoryFile::Parse(text.substr(0, cut), read));
   std::string changed = text;
   changed[changed.find("77")] = '9';
   std::ofstream(folder + "/fleet.memory") << changed;
   EXPECT_FALSE(file.Read(read, trouble));
   EXPECT_NE(trouble, "");
-  EXPECT_FALSE(MemoryFile(folder + "/none").Write(memory));
+  EXPECT_FALSE(VoterMemoryFile(folder + "/none").Write(memory));
 }
 
 TEST(FleetEventsTest, ReportOnlyWhatChanged) {
