--- a/src/fleet/sites.cpp
+++ b/src/fleet/sites.cpp
@@ -87,7 +87,7 @@
 // The state of a site of which at least one member is seen and which is neither lost nor returning.
 SiteState SiteMonitor::StateWhilePresent(const SiteTally& tally) const {
   const auto most_members = [&](int count) {
-    return count > 0 && count >= rules_.accusing_share * tally.present;
+    return count > 0 && count >= rules_.agreement_share * tally.present;
   };
   if (most_members(tally.without_list)) return SiteState::kNoList;
   if (most_members(tally.without_clients)) return SiteState::kNoClients;
@@ -105,7 +105,7 @@
   }
   while (!history.losses.empty() && now - history.losses.front() > kLossWindow) history.losses.pop_front();
   const bool lost = tally.present == 0 && tally.others > 0 &&
-                    tally.accusers >= std::ceil(rules_.accusing_share * tally.others);
+                    tally.accusers >= std::ceil(rules_.agreement_share * tally.others);
   const auto enter = [&](SiteState state) {
     if (history.state != state) history.since = now;
     history.state = state;
--- a/src/fleet/sites.h
+++ b/src/fleet/sites.h
@@ -20,7 +20,7 @@
   kDegraded,   // some of its members are gone
   kNoList,     // it serves, but discovery is lost there
   kNoClients,  // it serves, but no clients reach it
-  kLost,       // agreed: accusing_share of the members elsewhere see none of its members
+  kLost,       // agreed: agreement_share of the members elsewhere see none of its members
   kReturning,  // it is seen again, but not yet for long enough
 };
 const char* NameOf(SiteState state);
@@ -29,7 +29,7 @@
 struct SiteRules {
   // Share of the members of other sites that must see nobody of the site for it to be lost. Also the share of
   // its own members present that must be without discovery, or without clients, for kNoList or kNoClients.
-  double accusing_share = 0.66;
+  double agreement_share = 0.66;
   // How long a site must be seen again after its first loss before it is up.
   Micros return_hold{std::chrono::seconds(30)};
   // Upper bound of that time, which doubles with each further loss within the hour.
--- a/src/node/config_fleet.cpp
+++ b/src/node/config_fleet.cpp
@@ -121,7 +121,7 @@
   fleet.timing.lease = duration("operator.fleet.lease");
   fleet.timing.drift = number("operator.fleet.clock_drift");
   fleet.count_senders = config::ValueAt(whole, "operator.fleet.count_senders", 0)->get<bool>();
-  fleet.sites.accusing_share = number("operator.fleet.site_agree");
+  fleet.sites.agreement_share = number("operator.fleet.site_agree");
   fleet.sites.return_hold = duration("operator.fleet.site_hold");
   fleet.sites.max_return_hold = std::max(fleet.sites.return_hold, duration("operator.fleet.site_hold_most"));
   for (std::size_t i = 0; i < TableCount(whole, "operator.sites"); ++i) {
--- a/tests/config/fleet_config_test.cpp
+++ b/tests/config/fleet_config_test.cpp
@@ -36,7 +36,7 @@
   EXPECT_EQ(config.fleet.listen, "127.0.0.1:7946");
   EXPECT_EQ(config.fleet.timing.lease, std::chrono::seconds(12));
   EXPECT_EQ(config.fleet.timing.probe_timeout, std::chrono::milliseconds(300));
-  EXPECT_DOUBLE_EQ(config.fleet.sites.accusing_share, 0.8);
+  EXPECT_DOUBLE_EQ(config.fleet.sites.agreement_share, 0.8);
   ASSERT_EQ(config.fleet.peers.size(), 2u);
   EXPECT_EQ(config.fleet.peers[1].site, "main");
   EXPECT_FALSE(config.fleet.peers[1].votes);
