--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -129,7 +129,7 @@
   SiteMonitor site_monitor_;
   // Site of this member.
   std::string site_;
-  bool has_list_ = true;
+  bool has_discovery_ = true;
   bool has_clients_ = true;
   Acceptor acceptor_;
   // One per lease that this member may hold, by resource.
--- a/src/fleet/fleet_sites.cpp
+++ b/src/fleet/fleet_sites.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 void FleetMember::SetLocalConditions(bool list, bool clients) {
-  has_list_ = list;
+  has_discovery_ = list;
   has_clients_ = clients;
 }
 
@@ -22,7 +22,7 @@
 void FleetMember::PublishObservation(Micros now) {
   MemberObservation observation;
   observation.in_contact = in_contact_ && InQuorumContact(now);
-  observation.has_list = has_list_;
+  observation.has_discovery = has_discovery_;
   observation.has_clients = has_clients_;
   std::map<std::string, int> seen;
   for (const auto& [name, member] : members_.all()) {
@@ -43,7 +43,7 @@
     const Fact* fact = facts_.Find(ObservationKey(name));
     const auto observation = fact != nullptr ? MemberObservation::Parse(fact->value) : std::nullopt;
     if (!observation) return;
-    tallies[at].without_list += !observation->has_list;
+    tallies[at].without_discovery += !observation->has_discovery;
     tallies[at].without_clients += !observation->has_clients;
     if (!observation->in_contact) return;
     for (auto& [site, tally] : tallies) {
--- a/src/fleet/sites.cpp
+++ b/src/fleet/sites.cpp
@@ -15,7 +15,7 @@
                                               SiteState::kLost,   SiteState::kReturning};
 
 constexpr std::string_view kFlags =
-    "tlc";                    // of an observation, in this order: in_contact, has_list, has_clients
+    "tlc";                    // of an observation, in this order: in_contact, has_discovery, has_clients
 constexpr char kUnset = '-';  // in place of a flag that is not set
 
 // Removes the part of `text` up to and including `end`, and returns it without `end`.
@@ -41,7 +41,7 @@
 }
 
 std::string MemberObservation::Serialize() const {
-  const bool flags[] = {in_contact, has_list, has_clients};
+  const bool flags[] = {in_contact, has_discovery, has_clients};
   static_assert(std::size(flags) == kFlags.size());
   std::string text;
   for (std::size_t i = 0; i < std::size(flags); ++i) text += flags[i] ? kFlags[i] : kUnset;
@@ -56,7 +56,7 @@
     if (flags[i] != kFlags[i] && flags[i] != kUnset) return std::nullopt;
   MemberObservation observation;
   observation.in_contact = flags[0] != kUnset;
-  observation.has_list = flags[1] != kUnset;
+  observation.has_discovery = flags[1] != kUnset;
   observation.has_clients = flags[2] != kUnset;
   while (!text.empty()) observation.unseen_sites.emplace_back(TakeUntil(text, '\n'));
   return observation;
@@ -89,7 +89,7 @@
   const auto most_members = [&](int count) {
     return count > 0 && count >= rules_.agreement_share * tally.present;
   };
-  if (most_members(tally.without_list)) return SiteState::kNoList;
+  if (most_members(tally.without_discovery)) return SiteState::kNoList;
   if (most_members(tally.without_clients)) return SiteState::kNoClients;
   return tally.present < tally.members ? SiteState::kDegraded : SiteState::kUp;
 }
--- a/src/fleet/sites.h
+++ b/src/fleet/sites.h
@@ -41,7 +41,7 @@
   // The member is in contact with a majority of the voters.
   bool in_contact = false;
   // Its discovery watch is up.
-  bool has_list = true;
+  bool has_discovery = true;
   // Clients are connected to it.
   bool has_clients = true;
   // Sites of which it sees no member.
@@ -61,7 +61,7 @@
   // Of the present, those in contact with a majority of the voters.
   int in_contact = 0;
   // Of the present, those whose discovery watch is down.
-  int without_list = 0;
+  int without_discovery = 0;
   // Of the present, those without clients.
   int without_clients = 0;
   // Members of other sites that are in contact with a majority of the voters.
--- a/tests/fleet/sites_test.cpp
+++ b/tests/fleet/sites_test.cpp
@@ -46,9 +46,9 @@
   tally = Well();
   tally.without_clients = 4;
   EXPECT_EQ(At(seconds(1), tally), SiteState::kNoClients);
-  tally.without_list = 3;
+  tally.without_discovery = 3;
   EXPECT_EQ(At(seconds(2), tally), SiteState::kNoList);
-  tally.without_list = tally.without_clients = 1;  // a single member's own problem
+  tally.without_discovery = tally.without_clients = 1;  // a single member's own problem
   EXPECT_EQ(At(seconds(3), tally), SiteState::kUp);
 }
 
@@ -93,7 +93,7 @@
   const SiteStatus status{SiteState::kNoClients, 12};
   EXPECT_EQ(SiteStatus::Parse(status.Serialize()), status);
   MemberObservation observation;
-  observation.in_contact = true, observation.has_list = false, observation.unseen_sites = {"a b", "c"};
+  observation.in_contact = true, observation.has_discovery = false, observation.unseen_sites = {"a b", "c"};
   EXPECT_EQ(MemberObservation::Parse(observation.Serialize()), observation);
   for (const char* rubbish : {"", "up", "up\n", "up\nx", "gone\n1", "up\n1\n2"})
     EXPECT_FALSE(SiteStatus::Parse(rubbish));
