--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -101,7 +101,7 @@
 
 void Agent::Tick() {
   Actions actions;
-  fleet_->SetLocalConditions(list_, clients_);
+  fleet_->SetLocalConditions(discovery_up_, clients_connected_);
   fleet_->Tick(clock_.Now(), actions);
   Dispatch(actions);
   ScheduleTick();
--- a/src/fleet/agent.h
+++ b/src/fleet/agent.h
@@ -69,9 +69,9 @@
   // The following may be called from any thread.
 
   // See FleetMember::SetLocalConditions.
-  void SetLocalConditions(bool list, bool clients) {
-    list_ = list;
-    clients_ = clients;
+  void SetLocalConditions(bool discovery_up, bool clients_connected) {
+    discovery_up_ = discovery_up;
+    clients_connected_ = clients_connected;
   }
   // Removes and returns the events since the last call, oldest first.
   std::vector<FleetEvent> TakeEvents() { return events_.TakeAll(); }
@@ -100,8 +100,8 @@
   Micros publish_at_{0};
   // The last write of the voter's memory failed.
   bool memory_fails_ = false;
-  std::atomic<bool> list_{true};
-  std::atomic<bool> clients_{true};
+  std::atomic<bool> discovery_up_{true};
+  std::atomic<bool> clients_connected_{true};
   net::Loop loop_;
   // The only libuv handle that other threads may touch.
   std::unique_ptr<net::Wakeup> close_request_;
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -70,9 +70,9 @@
   Micros NextDue() const;
   // Handles one received packet.
   void OnPacket(const Packet& packet, Micros now, Actions& actions);
-  // Sets what this process tells others about itself: whether its discovery watch is up (`list`), and whether
-  // clients are connected.
-  void SetLocalConditions(bool list, bool clients);
+  // Sets what this process tells others about itself: whether its discovery watch is up, and whether clients
+  // are connected.
+  void SetLocalConditions(bool discovery_up, bool clients_connected);
   // A packet with all known members and facts, as reply (`answer`) or as request.
   Packet ExchangePacket(bool answer) const;
   // Tells some members that this one leaves, and releases its leases.
--- a/src/fleet/fleet_sites.cpp
+++ b/src/fleet/fleet_sites.cpp
@@ -12,9 +12,9 @@
 
 }  // namespace
 
-void FleetMember::SetLocalConditions(bool list, bool clients) {
-  has_discovery_ = list;
-  has_clients_ = clients;
+void FleetMember::SetLocalConditions(bool discovery_up, bool clients_connected) {
+  has_discovery_ = discovery_up;
+  has_clients_ = clients_connected;
 }
 
 // Writes this member's observation as a fact whose epoch is its start number: nobody else writes it, and the
--- a/src/node/fleet_link.h
+++ b/src/node/fleet_link.h
@@ -34,7 +34,9 @@
   std::vector<std::string> NewlyLostZones();
   // Passes on what this node observes itself: whether its watch on discovery stands, and whether clients are
   // connected.
-  void SetLocalConditions(bool list, bool clients) { agent_.SetLocalConditions(list, clients); }
+  void SetLocalConditions(bool discovery_up, bool clients_connected) {
+    agent_.SetLocalConditions(discovery_up, clients_connected);
+  }
   // The "fleet" part of the node's status.
   nlohmann::json Json() const;
 
--- a/tests/fleet/world.h
+++ b/tests/fleet/world.h
@@ -111,8 +111,8 @@
     return holds();
   }
 
-  void SetLocalConditions(int i, bool list, bool clients) {
-    nodes_[static_cast<std::size_t>(i)].fleet->SetLocalConditions(list, clients);
+  void SetLocalConditions(int i, bool discovery_up, bool clients_connected) {
+    nodes_[static_cast<std::size_t>(i)].fleet->SetLocalConditions(discovery_up, clients_connected);
   }
   std::set<int> Site(int site) const {  // numbers of its members
     std::set<int> members;
