--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -196,7 +196,7 @@
   *target = std::move(value);
 }
 
-std::string ToText(const Fault& fault) {
+std::string ToText(const ConfigFault& fault) {
   std::string text = fault.file;
   if (fault.location.line > 0)
     text += fmt::format("{}{}:{}", text.empty() ? "" : ":", fault.location.line, fault.location.column);
@@ -204,9 +204,9 @@
   return text + (text.empty() ? "" : ": ") + fault.problem;
 }
 
-std::string ToText(const std::vector<Fault>& faults, std::string_view separator) {
+std::string ToText(const std::vector<ConfigFault>& faults, std::string_view separator) {
   std::string text;
-  for (const Fault& fault : faults) {
+  for (const ConfigFault& fault : faults) {
     if (!text.empty()) text += separator;
     text += ToText(fault);
   }
--- a/src/config/document.h
+++ b/src/config/document.h
@@ -17,7 +17,7 @@
 };
 
 // One error in a source of the configuration.
-struct Fault {
+struct ConfigFault {
   std::string file;  // the file's name, or a name for the other source that the value came from
   SourceLocation location;
   std::string path;     // of the setting, such as "classes[1].aim"; empty: the file as a whole
@@ -25,15 +25,15 @@
 };
 
 // "FILE:LINE:COLUMN: PATH: PROBLEM", as compilers print errors. Parts that are not known are left out.
-std::string ToText(const Fault& fault);
+std::string ToText(const ConfigFault& fault);
 // All faults, with `separator` between them.
-std::string ToText(const std::vector<Fault>& faults, std::string_view separator);
+std::string ToText(const std::vector<ConfigFault>& faults, std::string_view separator);
 
 // The values of an operator's file. With faults, only the values without one are present.
 struct ParsedOperatorsFile {
   nlohmann::json values = nlohmann::json::object();  // in the form of the platform's JSON
   std::map<std::string, SourceLocation> locations;   // of each value, by its path in the operator's file
-  std::vector<Fault> faults;
+  std::vector<ConfigFault> faults;
 };
 
 constexpr std::size_t kMaxDocumentBytes = std::size_t{64} * 1024;  // of the operator's file
@@ -44,8 +44,8 @@
 
 // Finds values that contradict one another although each is valid by itself. `values` are in the platform's
 // form; `file` and `locations` are those of the operator's file, for the faults.
-std::vector<Fault> FindContradictions(const nlohmann::json& values, const std::string& file,
-                                      const std::map<std::string, SourceLocation>& locations);
+std::vector<ConfigFault> FindContradictions(const nlohmann::json& values, const std::string& file,
+                                            const std::map<std::string, SourceLocation>& locations);
 
 // The first 80 bytes of a value's text at most, for a fault; never ends within a UTF-8 character.
 std::string Excerpt(const std::string& text);
--- a/src/config/document_checks.cpp
+++ b/src/config/document_checks.cpp
@@ -36,9 +36,9 @@
   return indices;
 }
 
-std::vector<Fault> FindContradictions(const json& values, const std::string& file,
-                                      const std::map<std::string, SourceLocation>& locations) {
-  std::vector<Fault> faults;
+std::vector<ConfigFault> FindContradictions(const json& values, const std::string& file,
+                                            const std::map<std::string, SourceLocation>& locations) {
+  std::vector<ConfigFault> faults;
   const auto add_fault = [&](const std::string& path, std::string problem) {
     const auto it = locations.find(path);
     faults.push_back({file, it == locations.end() ? SourceLocation{} : it->second, path, std::move(problem)});
--- a/src/config/fault_list.h
+++ b/src/config/fault_list.h
@@ -13,9 +13,9 @@
 namespace indigosaddle::config {
 
 // Collects the faults of one document. The string passed as `file` must outlive the list.
-class FaultList {
+class ConfigFaultList {
  public:
-  explicit FaultList(const std::string& file) : file_(file) {}
+  explicit ConfigFaultList(const std::string& file) : file_(file) {}
 
   // Whether further faults are only counted.
   bool full() const { return faults_.size() >= kMaxFaults; }
@@ -28,7 +28,7 @@
     }
   }
   // Moves the faults out of the list. Where faults were only counted, a last entry says how many.
-  std::vector<Fault> Take() {
+  std::vector<ConfigFault> Take() {
     if (omitted_ > 0) faults_.push_back({file_, {}, "", fmt::format("{} more faults", omitted_)});
     omitted_ = 0;
     return std::move(faults_);
@@ -38,7 +38,7 @@
   static constexpr std::size_t kMaxFaults = 50;
 
   const std::string& file_;
-  std::vector<Fault> faults_;
+  std::vector<ConfigFault> faults_;
   std::size_t omitted_ = 0;
 };
 
--- a/src/config/layers.cpp
+++ b/src/config/layers.cpp
@@ -73,7 +73,7 @@
 void MergePlatform(const Sources& sources, EffectiveConfig& effective) {
   const std::string& name = sources.platform.name;
   ParsedObject parsed = ParseWithoutOperatorPart(sources.platform);
-  std::vector<Fault>& faults = parsed.faults;
+  std::vector<ConfigFault>& faults = parsed.faults;
   if (faults.empty()) {
     faults = CheckPlatformDocument(
         parsed.value, name, sources.operators_file.given ? BaseLayer::kOperatorsFile : BaseLayer::kNone);
--- a/src/config/layers.h
+++ b/src/config/layers.h
@@ -32,7 +32,7 @@
   nlohmann::json merged;  // in the platform's form; always an object
   bool has_operators_file = false;
   bool platform_usable = true;  // false: a platform's document is given and has a fault
-  std::vector<Fault> faults;
+  std::vector<ConfigFault> faults;
   ParsedOperatorsFile operators_file;
   nlohmann::json platform = nlohmann::json::object();
   std::string operators_file_name, platform_name;
--- a/src/config/platform_change.cpp
+++ b/src/config/platform_change.cpp
@@ -63,7 +63,7 @@
       }
     }
   }
-  std::vector<Fault> TakeFaults() { return faults_.Take(); }
+  std::vector<ConfigFault> TakeFaults() { return faults_.Take(); }
 
  private:
   void AddFault(const std::string& path, std::string problem) { faults_.Add(path, std::move(problem)); }
@@ -106,12 +106,12 @@
     return common;
   }
 
-  FaultList faults_;
+  ConfigFaultList faults_;
 };
 
 }  // namespace
 
-std::vector<Fault> FindMissingValues(const json& in_force, const json& next, const std::string& file) {
+std::vector<ConfigFault> FindMissingValues(const json& in_force, const json& next, const std::string& file) {
   Comparison comparison(file);
   if (in_force.is_object() && next.is_object()) comparison.CompareObjects(in_force, next, "");
   return comparison.TakeFaults();
--- a/src/config/platform_document.cpp
+++ b/src/config/platform_document.cpp
@@ -105,7 +105,7 @@
   Checker(const json& document, const std::string& file, BaseLayer base)
       : document_(document), faults_(file), complete_(base == BaseLayer::kNone) {}
 
-  std::vector<Fault> Check() {
+  std::vector<ConfigFault> Check() {
     for (const Setting& setting : PlatformSchema()) {
       const std::string_view path = setting.platform_path;
       if (path.ends_with("[]")) {
@@ -227,14 +227,15 @@
   }
 
   const json& document_;
-  FaultList faults_;
+  ConfigFaultList faults_;
   const bool complete_;  // the document must be complete by itself
   std::set<std::string> paths_with_fault_;
 };
 
 }  // namespace
 
-std::vector<Fault> CheckPlatformDocument(const json& document, const std::string& file, BaseLayer base) {
+std::vector<ConfigFault> CheckPlatformDocument(const json& document, const std::string& file,
+                                               BaseLayer base) {
   return Checker(document, file, base).Check();
 }
 
--- a/src/config/platform_document.h
+++ b/src/config/platform_document.h
@@ -14,14 +14,14 @@
 enum class BaseLayer : std::uint8_t { kNone, kOperatorsFile };
 
 // Finds every fault of `document` by itself. `file` is the document's name for the faults.
-std::vector<Fault> CheckPlatformDocument(const nlohmann::json& document, const std::string& file,
-                                         BaseLayer base);
+std::vector<ConfigFault> CheckPlatformDocument(const nlohmann::json& document, const std::string& file,
+                                               BaseLayer base);
 
 // Finds the values of `in_force` that `next` lacks or has as another type. A table of a list is compared with
 // the table of the same name; one whose name is new must have the values that all tables in force have in
 // common. Where a class is no longer keyed, its group and the lifetime of its key may be left out. `file` is
 // the name of `next` for the faults.
-std::vector<Fault> FindMissingValues(const nlohmann::json& in_force, const nlohmann::json& next,
-                                     const std::string& file);
+std::vector<ConfigFault> FindMissingValues(const nlohmann::json& in_force, const nlohmann::json& next,
+                                           const std::string& file);
 
 }  // namespace indigosaddle::config
--- a/src/config/strict_json.cpp
+++ b/src/config/strict_json.cpp
@@ -32,13 +32,13 @@
     }
     return true;
   }
-  std::vector<Fault> TakeFaults() { return faults_.Take(); }
+  std::vector<ConfigFault> TakeFaults() { return faults_.Take(); }
 
  private:
   void AddFault(const std::string& path, std::string problem) { faults_.Add(path, std::move(problem)); }
 
   std::vector<std::set<std::string>> names_;  // of each object that is open, the innermost last
-  FaultList faults_;
+  ConfigFaultList faults_;
   bool too_deep_ = false;
 };
 
--- a/src/config/strict_json.h
+++ b/src/config/strict_json.h
@@ -12,7 +12,7 @@
 
 struct ParsedObject {
   nlohmann::json value = nlohmann::json::object();
-  std::vector<Fault> faults;  // where there is one, `value` is an empty object
+  std::vector<ConfigFault> faults;  // where there is one, `value` is an empty object
 };
 
 // Parses a text that must be one JSON object with nothing after it. No object in it may have a name twice,
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -28,10 +28,11 @@
     CheckOperatorSettings(effective);
     CheckFleet(effective);
   }
-  std::stable_sort(
-      effective.faults.begin(), effective.faults.end(), [](const config::Fault& a, const config::Fault& b) {
-        return std::pair(a.location.line, a.location.column) < std::pair(b.location.line, b.location.column);
-      });
+  std::stable_sort(effective.faults.begin(), effective.faults.end(),
+                   [](const config::ConfigFault& a, const config::ConfigFault& b) {
+                     return std::pair(a.location.line, a.location.column) <
+                            std::pair(b.location.line, b.location.column);
+                   });
   if (!effective.faults.empty()) throw ConfigError(config::ToText(effective.faults, "\n"));
   const std::string& name = sources.platform.given ? effective.platform_name : effective.operators_file_name;
   try {
--- a/src/node/startup_config.cpp
+++ b/src/node/startup_config.cpp
@@ -108,7 +108,7 @@
   const std::optional<std::string> text = LastGoodFile(folder).Load();
   if (!text) return "";
   const config::ParsedObject parsed = config::ParseObject(*text, kLastGoodName);
-  std::vector<config::Fault> faults = parsed.faults;
+  std::vector<config::ConfigFault> faults = parsed.faults;
   // A last good file that no node could use must not be the reference for another document.
   if (faults.empty()) {
     const auto base_layer =
--- a/tests/config/schema_test.cpp
+++ b/tests/config/schema_test.cpp
@@ -142,7 +142,7 @@
   }
   const ParsedOperatorsFile parsed = ParseOperatorsFile(text, "f");
   RC_ASSERT(parsed.faults.size() <= 60u);
-  for (const Fault& fault : parsed.faults) RC_ASSERT(!ToText(fault).empty());
+  for (const ConfigFault& fault : parsed.faults) RC_ASSERT(!ToText(fault).empty());
 }
 
 }  // namespace
