--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -49,7 +49,7 @@
   fleet.timing = options_.timing;
   fleet.sites = options_.sites;
   fleet.seed = options_.seed;
-  fleet.floor = WallMillis() / 1000;
+  fleet.epoch_floor = WallMillis() / 1000;
   std::string trouble;
   if (!file_.Read(fleet.memory, trouble) && !trouble.empty()) {
     events_.Put(
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -57,7 +57,7 @@
   if (!votes_) return;
   const auto [it, added] =
       proposers_.try_emplace(kCoordinator, options_.name, options_.start, kCoordinator, voters_,
-                             options_.timing, options_.seed + 1, options_.floor);
+                             options_.timing, options_.seed + 1, options_.epoch_floor);
   Proposer::LeaseMessages none;
   it->second.SetWanted(true, now, none);
 }
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -56,7 +56,7 @@
   // What the voter's file holds.
   VoterMemory memory;
   // See Proposer.
-  std::uint64_t floor = 0;
+  std::uint64_t epoch_floor = 0;
 };
 
 // State machine of one member. All times are of one steady clock of the process.
--- a/src/fleet/proposer.cpp
+++ b/src/fleet/proposer.cpp
@@ -21,7 +21,7 @@
 
 Proposer::Proposer(std::string self, std::uint64_t start, std::string resource,
                    std::vector<std::string> voters, const Timing& timing, std::uint64_t seed,
-                   std::uint64_t floor)
+                   std::uint64_t epoch_floor)
     : self_(std::move(self)),
       start_(start),
       resource_(std::move(resource)),
@@ -29,7 +29,7 @@
       term_(timing.lease),
       holder_term_(HolderTerm(timing.lease, timing.drift)),
       random_(static_cast<std::minstd_rand::result_type>(seed)),
-      counter_(floor) {}
+      counter_(epoch_floor) {}
 
 Micros Proposer::RandomTermPart(std::int64_t min_percent, std::int64_t max_percent) {
   return term_ *
--- a/src/fleet/proposer.h
+++ b/src/fleet/proposer.h
@@ -24,10 +24,10 @@
   // Messages to send, with the receiving voter's name, which may be this process's own.
   using LeaseMessages = std::vector<std::pair<std::string, LeaseMessage>>;
 
-  // `voters` names all voters. Epochs start above `floor`: a wall clock in seconds keeps them rising where
-  // every voter has lost its memory, and nothing else depends on it.
+  // `voters` names all voters. Epochs start above `epoch_floor`: a wall clock in seconds keeps them rising
+  // where every voter has lost its memory, and nothing else depends on it.
   Proposer(std::string self, std::uint64_t start, std::string resource, std::vector<std::string> voters,
-           const Timing& timing, std::uint64_t seed, std::uint64_t floor);
+           const Timing& timing, std::uint64_t seed, std::uint64_t epoch_floor);
 
   // Starts or stops acquiring the lease. With `want` false, this process stops using a held lease, and only
   // then tells the voters that it is free.
--- a/tests/fleet/world.h
+++ b/tests/fleet/world.h
@@ -40,7 +40,7 @@
     if (!lose_memory) options.memory = node.memory;
     options.start = options.memory.start =
         std::max(node.memory.start + 1, static_cast<std::uint64_t>(now_.count()) + 1);
-    options.floor = static_cast<std::uint64_t>(now_.count() / 1000000);
+    options.epoch_floor = static_cast<std::uint64_t>(now_.count() / 1000000);
     node.memory = options.memory;
     node.fleet = std::make_unique<FleetMember>(options, LocalTime(i));
     ++node.generation;
