--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -94,7 +94,7 @@
   Actions actions;
   fleet_->OnPacket(packet, clock_.Now(), actions);
   Dispatch(actions);
-  ScheduleTick();
+  PublishAndScheduleTick();
 }
 
 Packet Agent::ExchangePacket(bool answer) { return fleet_->ExchangePacket(answer); }
@@ -104,7 +104,7 @@
   fleet_->SetLocalConditions(discovery_up_, clients_connected_);
   fleet_->Tick(clock_.Now(), actions);
   Dispatch(actions);
-  ScheduleTick();
+  PublishAndScheduleTick();
 }
 
 void Agent::Dispatch(const Actions& actions) {
@@ -136,7 +136,7 @@
   on_change_();
 }
 
-void Agent::ScheduleTick() {
+void Agent::PublishAndScheduleTick() {
   const Micros now = clock_.Now();
   const bool publish = now >= publish_at_;
   if (publish) {
--- a/src/fleet/agent.h
+++ b/src/fleet/agent.h
@@ -85,7 +85,7 @@
   // Persists the voter's memory where asked for, then sends packets and begins exchanges.
   void Dispatch(const Actions& actions);
   void PublishIfChanged();
-  void ScheduleTick();
+  void PublishAndScheduleTick();
   void Close();
 
   const AgentOptions options_;
