--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -69,7 +69,7 @@
   packet.from = options_.name;
   packet.start = self.start;
   packet.incarnation = self.incarnation;
-  packet.electorate = electorate_;
+  packet.voters_hash = voters_hash_;
   return packet;
 }
 
@@ -172,7 +172,7 @@
     return;
   }
   const bool voter = members_.all().at(packet.from).peer.votes;
-  if (packet.electorate != electorate_ && (voter || votes_)) {
+  if (packet.voters_hash != voters_hash_ && (voter || votes_)) {
     voters_differed_at_ = now;
     acceptor_.SilenceUntil(now + 2 * options_.timing.lease);
   }
@@ -189,7 +189,7 @@
     case PacketKind::kPingReq: prober_.OnPingReq(packet.from, packet.seq, packet.target, now, probes); break;
     case PacketKind::kNack: prober_.OnNack(packet.seq); break;
     case PacketKind::kLease:
-      if (packet.electorate == electorate_) OnLeases(packet, now, actions);
+      if (packet.voters_hash == voters_hash_) OnLeases(packet, now, actions);
       break;
     case PacketKind::kExchange:
     case PacketKind::kExchangeReply:
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -120,7 +120,7 @@
   std::vector<std::string> voters_;
   bool votes_ = false;
   // Fingerprint of `voters_`, sent in every packet.
-  std::uint64_t electorate_;
+  std::uint64_t voters_hash_;
   Gossip gossip_;
   Members members_;
   Prober prober_;
--- a/src/fleet/types.h
+++ b/src/fleet/types.h
@@ -111,7 +111,7 @@
   std::uint64_t start = 0;
   std::uint32_t incarnation = 0;
   // Fingerprint of the voters that the sender's file names.
-  std::uint64_t electorate = 0;
+  std::uint64_t voters_hash = 0;
   // Number of a ping, echoed in its answers.
   std::uint64_t seq = 0;
   // Of a ping: whom it is meant for.
--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -86,7 +86,7 @@
   const bool pings = packet.kind == PacketKind::kPing || packet.kind == PacketKind::kPingReq;
   const bool answers = packet.kind == PacketKind::kAck || packet.kind == PacketKind::kNack;
   if (!IsName(packet.from, false) || !IsName(packet.target, !pings)) return false;
-  if (!IsNumber(packet.start) || !IsIncarnation(packet.incarnation) || packet.electorate == 0) return false;
+  if (!IsNumber(packet.start) || !IsIncarnation(packet.incarnation) || packet.voters_hash == 0) return false;
   return packet.seq > 0 || !(pings || answers);
 }
 
@@ -99,7 +99,7 @@
   out.set_from(packet.from);
   out.set_start(packet.start);
   out.set_incarnation(packet.incarnation);
-  out.set_electorate(packet.electorate);
+  out.set_electorate(packet.voters_hash);
   out.set_seq(packet.seq);
   out.set_target(packet.target);
   for (const MemberUpdate& item : packet.members) {
@@ -141,7 +141,7 @@
   packet.from = in.from();
   packet.start = in.start();
   packet.incarnation = in.incarnation();
-  packet.electorate = in.electorate();
+  packet.voters_hash = in.electorate();
   packet.seq = in.seq();
   packet.target = in.target();
   const bool whole = IsWhole(packet) && ReadAll(in.members(), kMaxMembers, packet.members) &&
--- a/tests/fleet/fleet_wire_test.cpp
+++ b/tests/fleet/fleet_wire_test.cpp
@@ -23,7 +23,7 @@
   Packet packet;
   packet.kind = PacketKind::kLease;
   packet.from = "node-1", packet.start = 1764600000000, packet.incarnation = 3,
-  packet.electorate = 0xfedcba9876543210;
+  packet.voters_hash = 0xfedcba9876543210;
   packet.seq = 1ull << 62, packet.target = "node-2";
   packet.members = {Update("node-3", Liveness::kSuspect, 9, 2, "node-1"), Update("node-4", Liveness::kLeft)};
   packet.facts = {{"senders", "node-1", std::string("3\0x", 3), 12, 4}};
@@ -84,7 +84,7 @@
     return !Decode(Encode(packet)).has_value();
   };
   EXPECT_TRUE(refused([](Packet& p) { p.start = 0; }));
-  EXPECT_TRUE(refused([](Packet& p) { p.electorate = 0; }));
+  EXPECT_TRUE(refused([](Packet& p) { p.voters_hash = 0; }));
   EXPECT_TRUE(refused([](Packet& p) { p.members[0].start = 0; }));
   EXPECT_TRUE(refused([](Packet& p) { p.members[0].accuser.clear(); })) << "a suspicion without an accuser";
   EXPECT_TRUE(refused([](Packet& p) { p.facts[0].owner.clear(); }));
