--- a/src/config/store.cpp
+++ b/src/config/store.cpp
@@ -51,7 +51,7 @@
                       {"stopped", history.planned_stop},
                       {"generations", all}};
   const std::string body = whole.dump(-1, ' ', false, json::error_handler_t::replace);
-  return fmt::format("{}{}\n{}\n", kMagic, Hash(body), body);
+  return fmt::format("{}{}\n{}\n", kMagic, HashHex(body), body);
 }
 
 // Returns false where the text is damaged; `history` may then be filled in part.
@@ -59,7 +59,7 @@
   const std::size_t line_end = text.find('\n');
   if (line_end == std::string_view::npos || !text.starts_with(kMagic) || !text.ends_with('\n')) return false;
   const std::string_view body = text.substr(line_end + 1, text.size() - line_end - 2);
-  if (text.substr(kMagic.size(), line_end - kMagic.size()) != Hash(body)) return false;
+  if (text.substr(kMagic.size(), line_end - kMagic.size()) != HashHex(body)) return false;
   try {
     const json whole = json::parse(body);
     history.kept = whole.at("kept");
@@ -93,7 +93,7 @@
   return kFiles * (MaxFileBytes(disk_bytes) + kBlockBytes);
 }
 
-std::string Hash(std::string_view text) {
+std::string HashHex(std::string_view text) {
   return fmt::format("{:016x}", XXH3_64bits(text.data(), text.size()));
 }
 
--- a/src/config/store.h
+++ b/src/config/store.h
@@ -18,7 +18,7 @@
 std::size_t MaxStoreBytes(std::size_t disk_bytes);
 
 // A hash of a document's text in 16 hex digits, to tell whether two texts are the same.
-std::string Hash(std::string_view text);
+std::string HashHex(std::string_view text);
 
 // The generations in the form that `config history` prints, without their documents.
 nlohmann::json HistoryAsJson(const History& history);
--- a/src/node/config_changes.cpp
+++ b/src/node/config_changes.cpp
@@ -95,12 +95,12 @@
   } catch (const ConfigError& error) {
     return RejectReload(error);  // a change of the operator's file in the same reload is not applied either
   }
-  if (store_ != nullptr && config::Hash(file) != transactions_.history().seen_file) {
+  if (store_ != nullptr && config::HashHex(file) != transactions_.history().seen_file) {
     config::Proposal proposal;
     proposal.author = "SIGHUP";
     proposal.reason = "the file " + name + " changed";
     proposal.document = file;
-    proposal.file_hash = config::Hash(file);
+    proposal.file_hash = config::HashHex(file);
     HandleEvent(config::Proposed{Validated(std::move(proposal)), loop_.Now()});
   } else if (!changed) {
     log_.Write(base::kConfigUnchanged, owner_.running().discovery);
@@ -114,7 +114,7 @@
 }
 
 std::string ConfigChanges::PlatformDocumentHash() const {
-  return sources_.platform.given ? config::Hash(sources_.platform.text) : "";
+  return sources_.platform.given ? config::HashHex(sources_.platform.text) : "";
 }
 
 // ---- Effects ----------------------------------------------------------------------------------------------
--- a/src/node/startup_config.cpp
+++ b/src/node/startup_config.cpp
@@ -54,7 +54,7 @@
   if (!file_errors.empty() && saved.kept == 0) throw ConfigError(file_errors);
   const std::string operators_text = startup.sources.operators_file.text;
   startup.history = config::HistoryAtStart(
-      std::move(saved), operators_text, config::Hash(operators_text), file_errors.empty(),
+      std::move(saved), operators_text, config::HashHex(operators_text), file_errors.empty(),
       std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch()));
   const config::Generation& generation = *startup.history.Find(startup.history.kept);
   startup.sources.operators_file.text = generation.document;
