--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -41,7 +41,7 @@
     : options_(WithMixedSeed(std::move(options))),
       voters_(VoterNames(options_.roster, "")),
       votes_(std::find(voters_.begin(), voters_.end(), options_.name) != voters_.end()),
-      electorate_(Fingerprint(voters_)),
+      voters_hash_(Fingerprint(voters_)),
       members_(options_.name, options_.start, options_.roster, options_.timing, gossip_),
       prober_(members_, options_.timing, options_.seed, now),
       quorum_contact_(options_.name, options_.roster, options_.timing, now),
