--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -51,7 +51,7 @@
       gossip_at_(now),
       exchange_at_(now),
       recovery_request_at_(now),
-      refresh_at_(now) {
+      catch_up_at_(now) {
   for (const Peer& peer : options_.roster)
     if (peer.name == options_.name) site_ = peer.site;
   if (!votes_) return;
@@ -126,7 +126,7 @@
     if (with.empty()) with = prober_.RandomMembers(1, "", lost);
     actions.exchanges.insert(actions.exchanges.end(), with.begin(), with.end());
   }
-  Refresh(now, actions);
+  UpdateContactAndCatchUp(now, actions);
   if (votes_ && acceptor_.NeedsRecovery() && now >= recovery_request_at_) {
     recovery_request_at_ = now + options_.timing.lease / kRecoveryRequestsPerTerm;
     Proposer::LeaseMessages messages;
@@ -146,7 +146,7 @@
 
 Micros FleetMember::NextDue() const {
   Micros due = std::min({prober_.NextDue(), quorum_contact_.NextDue(), exchange_at_, members_.NextExpiry()});
-  if (in_contact_ && !Refreshed()) due = std::min(due, refresh_at_);
+  if (in_contact_ && !CaughtUp()) due = std::min(due, catch_up_at_);
   if (in_contact_)
     due = std::min(due, *quorum_contact_.LastConfirmed(last_tick_) + options_.timing.lease + Micros(1));
   if (!gossip_.empty()) due = std::min(due, gossip_at_);
@@ -194,7 +194,7 @@
     case PacketKind::kExchange:
     case PacketKind::kExchangeReply:
       joined_ = true;
-      if (voter) refreshed_.insert(packet.from);
+      if (voter) state_received_from_.insert(packet.from);
       break;
     case PacketKind::kGossip: break;
   }
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -112,8 +112,8 @@
   bool MayHoldLeases(Micros now) const;
   bool InQuorumContact(Micros now) const;
   // A majority of the voters has sent all it knows since contact was regained.
-  bool Refreshed() const;
-  void Refresh(Micros now, Actions& actions);
+  bool CaughtUp() const;
+  void UpdateContactAndCatchUp(Micros now, Actions& actions);
 
   FleetOptions options_;
   // Names of all voters, this member included where it votes.
@@ -142,14 +142,14 @@
   // In contact with a majority of the voters at the last tick.
   bool in_contact_ = false;
   // Voters that sent all they know since contact was regained.
-  std::set<std::string> refreshed_;
+  std::set<std::string> state_received_from_;
   // When a member whose file names other voters was last heard.
   std::optional<Micros> voters_differed_at_;
   Micros last_tick_;
   Micros gossip_at_;
   Micros exchange_at_;
   Micros recovery_request_at_;
-  Micros refresh_at_;
+  Micros catch_up_at_;
   // Refutations already passed on to the prober.
   std::uint64_t refuted_ = 0;
   std::uint64_t exchanges_ = 0;
--- a/src/fleet/fleet_agreed.cpp
+++ b/src/fleet/fleet_agreed.cpp
@@ -36,22 +36,24 @@
   return confirmed && now - *confirmed <= options_.timing.lease;
 }
 
-bool FleetMember::Refreshed() const { return (refreshed_.size() + (votes_ ? 1 : 0)) * 2 > voters_.size(); }
+bool FleetMember::CaughtUp() const {
+  return (state_received_from_.size() + (votes_ ? 1 : 0)) * 2 > voters_.size();
+}
 
 // After contact with a majority is regained, what is agreed may have changed meanwhile. So this process does
 // not count as connected until a majority of the voters has sent all it knows; here it asks for that.
-void FleetMember::Refresh(Micros now, Actions& actions) {
+void FleetMember::UpdateContactAndCatchUp(Micros now, Actions& actions) {
   const bool in_contact = InQuorumContact(now);
   if (in_contact != in_contact_) {
-    refreshed_.clear();
-    refresh_at_ = now;
+    state_received_from_.clear();
+    catch_up_at_ = now;
   }
   in_contact_ = in_contact;
-  was_connected_ |= in_contact && Refreshed();
-  if (!in_contact || Refreshed() || now < refresh_at_) return;
-  refresh_at_ = now + options_.timing.probe_every / 2;
+  was_connected_ |= in_contact && CaughtUp();
+  if (!in_contact || CaughtUp() || now < catch_up_at_) return;
+  catch_up_at_ = now + options_.timing.probe_every / 2;
   for (const std::string& voter : voters_)
-    if (voter != options_.name && !refreshed_.contains(voter)) actions.exchanges.push_back(voter);
+    if (voter != options_.name && !state_received_from_.contains(voter)) actions.exchanges.push_back(voter);
 }
 
 void FleetMember::OnLeases(const Packet& packet, Micros now, Actions& actions) {
@@ -115,9 +117,9 @@
 Snapshot FleetMember::View(Micros now) const {
   Snapshot view;
   view.quorum_confirmed_at = quorum_contact_.LastConfirmed(now);
-  view.connectivity = in_contact_ && InQuorumContact(now) && Refreshed() ? Connectivity::kConnected
-                      : was_connected_                                   ? Connectivity::kIsolated
-                                                                         : Connectivity::kJoining;
+  view.connectivity = in_contact_ && InQuorumContact(now) && CaughtUp() ? Connectivity::kConnected
+                      : was_connected_                                  ? Connectivity::kIsolated
+                                                                        : Connectivity::kJoining;
   view.present = members_.present();
   view.superseded = members_.superseded();
   view.files_differ = FilesDiffer(now);
