--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -50,10 +50,10 @@
   fleet.sites = options_.sites;
   fleet.seed = options_.seed;
   fleet.epoch_floor = WallMillis() / 1000;
-  std::string trouble;
-  if (!file_.Read(fleet.memory, trouble) && !trouble.empty()) {
+  std::string error;
+  if (!file_.Read(fleet.memory, error) && !error.empty()) {
     events_.Put(
-        {FleetEvent::Kind::kTrouble, "fleet.memory " + trouble + "; the other voters are asked", "", 0});
+        {FleetEvent::Kind::kProblem, "fleet.memory " + error + "; the other voters are asked", "", 0});
   }
   fleet.start = fleet.memory.start = std::max(fleet.memory.start + 1, WallMillis());
   if (!file_.Write(fleet.memory)) return "fleet.memory cannot be written in the state folder";
@@ -113,7 +113,7 @@
     may_promise = file_.Write(fleet_->memory());
     if (may_promise == memory_fails_) {
       memory_fails_ = !may_promise;
-      events_.Put({FleetEvent::Kind::kTrouble,
+      events_.Put({FleetEvent::Kind::kProblem,
                    may_promise ? "fleet.memory can be written again"
                                : "fleet.memory can't be written; this voter is silent",
                    "", 0});
--- a/src/fleet/agent.h
+++ b/src/fleet/agent.h
@@ -56,7 +56,7 @@
 class Agent : private Transport::Handler {
  public:
   // `on_change` is called on the agent's thread after a snapshot was published. An event that comes without a
-  // new snapshot (trouble with fleet.memory) is not announced by itself; it waits for the next call.
+  // new snapshot (a problem with fleet.memory) is not announced by itself; it waits for the next call.
   // `published` must outlive the agent.
   Agent(AgentOptions options, PublishedSnapshot& published, std::function<void()> on_change);
   ~Agent() override;
--- a/src/fleet/fleet_events.cpp
+++ b/src/fleet/fleet_events.cpp
@@ -33,11 +33,11 @@
   }
   if (after.superseded && !before.superseded) {
     events.push_back(
-        {Kind::kTrouble, "a later process has this node's name; this one holds no leases any more", "", 0});
+        {Kind::kProblem, "a later process has this node's name; this one holds no leases any more", "", 0});
   }
   if (after.files_differ && !before.files_differ) {
     events.push_back(
-        {Kind::kTrouble, "a member's file names other voters; no lease is granted until they agree", "", 0});
+        {Kind::kProblem, "a member's file names other voters; no lease is granted until they agree", "", 0});
   }
   return events;
 }
--- a/src/fleet/fleet_events.h
+++ b/src/fleet/fleet_events.h
@@ -11,9 +11,9 @@
 
 // One change.
 struct FleetEvent {
-  enum class Kind : std::uint8_t { kMember, kConnectivity, kLease, kSite, kTrouble };
-  Kind kind = Kind::kTrouble;
-  // The member's name, the connectivity, the lease, the site, or the text of the trouble.
+  enum class Kind : std::uint8_t { kMember, kConnectivity, kLease, kSite, kProblem };
+  Kind kind = Kind::kProblem;
+  // The member's name, the connectivity, the lease, the site, or the text of the problem.
   std::string subject;
   // The new liveness of a member or state of a site; of a lease "held" or "not held".
   std::string state;
--- a/src/fleet/memory_file.cpp
+++ b/src/fleet/memory_file.cpp
@@ -55,11 +55,11 @@
   }
 }
 
-bool VoterMemoryFile::Read(VoterMemory& memory, std::string& trouble) const {
-  trouble.clear();
+bool VoterMemoryFile::Read(VoterMemory& memory, std::string& error) const {
+  error.clear();
   const base::Descriptor file(open(path_.c_str(), O_RDONLY | O_CLOEXEC));
   if (file.get() < 0) {
-    if (errno != ENOENT) trouble = std::strerror(errno);
+    if (errno != ENOENT) error = std::strerror(errno);
     return false;
   }
   std::string text;
@@ -67,11 +67,11 @@
   for (ssize_t count = 0; text.size() <= kMaxFileBytes;
        text.append(block.data(), static_cast<std::size_t>(count))) {
     count = read(file.get(), block.data(), block.size());
-    if (count < 0) trouble = std::strerror(errno);
+    if (count < 0) error = std::strerror(errno);
     if (count <= 0) break;
   }
-  if (trouble.empty() && Parse(text, memory)) return true;
-  if (trouble.empty()) trouble = "is damaged";
+  if (error.empty() && Parse(text, memory)) return true;
+  if (error.empty()) error = "is damaged";
   return false;
 }
 
--- a/src/fleet/memory_file.h
+++ b/src/fleet/memory_file.h
@@ -15,9 +15,9 @@
  public:
   explicit VoterMemoryFile(const std::string& folder);
 
-  // Reads the file. Returns true where it was whole; else `trouble` says what is wrong with it, and is empty
+  // Reads the file. Returns true where it was whole; else `error` says what is wrong with it, and is empty
   // where there is no file.
-  bool Read(VoterMemory& memory, std::string& trouble) const;
+  bool Read(VoterMemory& memory, std::string& error) const;
   // Returns false where the content is not on disk: then nothing may be promised.
   bool Write(const VoterMemory& memory) const;
 
--- a/src/node/fleet_link.cpp
+++ b/src/node/fleet_link.cpp
@@ -68,7 +68,7 @@
       case fleet::FleetEvent::Kind::kSite:
         log_.Write(base::kFleetSite, event.subject, event.state, event.value);
         break;
-      case fleet::FleetEvent::Kind::kTrouble: log_.Write(base::kFleetProblem, event.subject); break;
+      case fleet::FleetEvent::Kind::kProblem: log_.Write(base::kFleetProblem, event.subject); break;
     }
   }
   on_change_();
--- a/tests/fleet/fleet_wire_test.cpp
+++ b/tests/fleet/fleet_wire_test.cpp
@@ -181,13 +181,13 @@
   std::filesystem::create_directories(folder);
   const VoterMemoryFile file(folder);
   VoterMemory memory, read;
-  std::string trouble;
-  EXPECT_FALSE(file.Read(read, trouble));
-  EXPECT_EQ(trouble, "");
+  std::string error;
+  EXPECT_FALSE(file.Read(read, error));
+  EXPECT_EQ(error, "");
   memory.promised["x"] = {5, "a \"quoted\" name", 8};
   memory.start = 77, memory.complete = true;
   ASSERT_TRUE(file.Write(memory));
-  ASSERT_TRUE(file.Read(read, trouble)) << trouble;
+  ASSERT_TRUE(file.Read(read, error)) << error;
   EXPECT_TRUE(read == memory);
   const std::string text = VoterMemoryFile::Serialize(memory);
   for (std::size_t cut = 0; cut < text.size() - 1; ++cut)
@@ -195,8 +195,8 @@
   std::string changed = text;
   changed[changed.find("77")] = '9';
   std::ofstream(folder + "/fleet.memory") << changed;
-  EXPECT_FALSE(file.Read(read, trouble));
-  EXPECT_NE(trouble, "");
+  EXPECT_FALSE(file.Read(read, error));
+  EXPECT_NE(error, "");
   EXPECT_FALSE(VoterMemoryFile(folder + "/none").Write(memory));
 }
 
