--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -62,7 +62,7 @@
   it->second.SetWanted(true, now, none);
 }
 
-Packet FleetMember::Make(PacketKind kind) const {
+Packet FleetMember::MakePacket(PacketKind kind) const {
   Packet packet;
   const MemberUpdate self = members_.Self();
   packet.kind = kind;
@@ -75,7 +75,7 @@
 
 void FleetMember::Send(PacketKind kind, const std::string& to, std::uint64_t seq, const std::string& target,
                        Actions& actions) {
-  Packet packet = Make(kind);
+  Packet packet = MakePacket(kind);
   packet.seq = seq;
   packet.target = target;
   std::size_t room = kMaxDatagramBytes - kHeaderBytes;
@@ -202,7 +202,7 @@
 }
 
 Packet FleetMember::ExchangePacket(bool answer) const {
-  Packet packet = Make(answer ? PacketKind::kExchangeReply : PacketKind::kExchange);
+  Packet packet = MakePacket(answer ? PacketKind::kExchangeReply : PacketKind::kExchange);
   for (const auto& [name, member] : members_.all())
     if (member.known) packet.members.push_back(member.latest);
   for (const auto& [key, fact] : facts_.all()) packet.facts.push_back(fact);
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -93,7 +93,7 @@
   const VoterMemory& memory() const { return acceptor_.memory(); }
 
  private:
-  Packet Make(PacketKind kind) const;
+  Packet MakePacket(PacketKind kind) const;
   void Send(PacketKind kind, const std::string& to, std::uint64_t seq, const std::string& target,
             Actions& actions);
   void Dispatch(const Prober::ProbeMessages& messages, Actions& actions);
@@ -103,7 +103,7 @@
   // Writes the agreed facts where this member is the coordinator.
   void Coordinate(Micros now);
   void CoordinateSites(std::uint64_t epoch, Micros now);
-  void Write(const std::string& key, const std::string& value, std::uint64_t epoch);
+  void WriteFact(const std::string& key, const std::string& value, std::uint64_t epoch);
   void PublishObservation(Micros now);
   std::map<std::string, SiteTally> TallySites() const;
   std::size_t Senders(Micros now) const;
--- a/src/fleet/fleet_agreed.cpp
+++ b/src/fleet/fleet_agreed.cpp
@@ -15,7 +15,7 @@
       const auto it = proposers_.find(message.resource);
       if (answer && it != proposers_.end()) it->second.OnMessage(to, *answer, now, more);
     } else {
-      Packet packet = Make(PacketKind::kLease);
+      Packet packet = MakePacket(PacketKind::kLease);
       packet.leases.push_back(message);
       actions.packets.emplace_back(to, std::move(packet));
     }
@@ -58,7 +58,7 @@
 
 void FleetMember::OnLeases(const Packet& packet, Micros now, Actions& actions) {
   Proposer::LeaseMessages messages;
-  Packet answers = Make(PacketKind::kLease);
+  Packet answers = MakePacket(PacketKind::kLease);
   for (const LeaseMessage& message : packet.leases) {
     switch (message.kind) {
       case LeaseKind::kPrepare:
@@ -102,7 +102,7 @@
   const auto leases = Leases(now);
   const auto it = leases.find(kCoordinator);
   if (it == leases.end()) return;
-  Write(kSendersFact, std::to_string(Senders(now)), it->second.epoch);
+  WriteFact(kSendersFact, std::to_string(Senders(now)), it->second.epoch);
   CoordinateSites(it->second.epoch, now);
 }
 
--- a/src/fleet/fleet_sites.cpp
+++ b/src/fleet/fleet_sites.cpp
@@ -30,7 +30,7 @@
   }
   for (const auto& [site, count] : seen)
     if (count == 0 && site != site_) observation.unseen_sites.push_back(site);
-  Write(ObservationKey(options_.name), observation.Serialize(), members_.start());
+  WriteFact(ObservationKey(options_.name), observation.Serialize(), members_.start());
 }
 
 // Counts the observations of all members, for every site.
@@ -66,13 +66,13 @@
     const Fact* held = facts_.Find(SiteKey(site));
     if (held != nullptr && held->epoch > epoch) continue;
     const auto agreed = held != nullptr ? SiteStatus::Parse(held->value) : std::nullopt;
-    Write(SiteKey(site), site_monitor_.Decide(site, tally, agreed, now).Serialize(), epoch);
+    WriteFact(SiteKey(site), site_monitor_.Decide(site, tally, agreed, now).Serialize(), epoch);
   }
 }
 
 // Writes a fact where its value is new: one of this member's own, or one under a lease that it holds. The
 // version counts within the epoch.
-void FleetMember::Write(const std::string& key, const std::string& value, std::uint64_t epoch) {
+void FleetMember::WriteFact(const std::string& key, const std::string& value, std::uint64_t epoch) {
   const Fact* held = facts_.Find(key);
   Fact fact{key, options_.name, value, epoch, 1};
   if (held != nullptr && held->epoch > epoch) return;  // a later holder has written it: this lease is over
