--- a/src/fleet/prober.cpp
+++ b/src/fleet/prober.cpp
@@ -36,18 +36,19 @@
 void Prober::OnRefutation() { AdjustHealthPenalty(1); }
 
 void Prober::Begin(Micros now, ProbeMessages& messages) {
-  while (!ring_.empty() && !members_.all().at(ring_.back()).present()) ring_.pop_back();
-  if (ring_.empty()) {
-    ring_ = RandomMembers(members_.all().size(), "");  // shuffled
-    if (ring_.empty()) {
+  while (!round_targets_.empty() && !members_.all().at(round_targets_.back()).present())
+    round_targets_.pop_back();
+  if (round_targets_.empty()) {
+    round_targets_ = RandomMembers(members_.all().size(), "");  // shuffled
+    if (round_targets_.empty()) {
       next_probe_at_ = now + timing_.probe_every;
       return;
     }
   }
   const std::int64_t slow = health_penalty_ + 1;
   Probe probe;
-  probe.target = ring_.back();
-  ring_.pop_back();
+  probe.target = round_targets_.back();
+  round_targets_.pop_back();
   probe.seq = NextSeq();
   probe.indirect_at = now + timing_.probe_timeout * slow;
   probe.deadline = next_probe_at_ = now + timing_.probe_every * slow;
--- a/src/fleet/prober.h
+++ b/src/fleet/prober.h
@@ -88,7 +88,7 @@
   // Latest sequence number used.
   std::uint64_t seq_;
   // Members still to be probed in this round; the last one is next.
-  std::vector<std::string> ring_;
+  std::vector<std::string> round_targets_;
   std::optional<Probe> probe_;
   // By the sequence number of this member's ping.
   std::map<std::uint64_t, RelayedPing> relayed_pings_;
