--- a/src/fleet/wire.cpp
+++ b/src/fleet/wire.cpp
@@ -59,11 +59,12 @@
 std::optional<LeaseMessage> Read(const pb::LeaseWord& from) {
   if (from.kind() > static_cast<std::uint32_t>(LeaseKind::kRecoveryReply)) return std::nullopt;
   const auto kind = static_cast<LeaseKind>(from.kind());
-  const bool of_all =
+  const bool resource_optional =
       kind == LeaseKind::kRecoveryRequest || (kind == LeaseKind::kRecoveryReply && from.resource().empty());
   const bool has_round = kind != LeaseKind::kRecoveryRequest && kind != LeaseKind::kRecoveryReply;
-  if (!IsName(from.resource(), of_all) || (has_round && !IsNumber(from.round()))) return std::nullopt;
-  const auto ballot = Read(from.ballot(), of_all);
+  if (!IsName(from.resource(), resource_optional) || (has_round && !IsNumber(from.round())))
+    return std::nullopt;
+  const auto ballot = Read(from.ballot(), resource_optional);
   const auto accepted = ReadAccepted(from, kind);
   if (!ballot || !accepted) return std::nullopt;
   return LeaseMessage{kind, from.resource(), *ballot, from.round(), *accepted, from.memory()};
@@ -82,7 +83,7 @@
 
 // Checks the fields that a packet of its kind must have: pings and their answers a sequence number, pings a
 // target.
-bool IsWhole(const Packet& packet) {
+bool HasRequiredFields(const Packet& packet) {
   const bool pings = packet.kind == PacketKind::kPing || packet.kind == PacketKind::kPingReq;
   const bool answers = packet.kind == PacketKind::kAck || packet.kind == PacketKind::kNack;
   if (!IsName(packet.from, false) || !IsName(packet.target, !pings)) return false;
@@ -144,7 +145,7 @@
   packet.voters_hash = in.electorate();
   packet.seq = in.seq();
   packet.target = in.target();
-  const bool whole = IsWhole(packet) && ReadAll(in.members(), kMaxMembers, packet.members) &&
+  const bool whole = HasRequiredFields(packet) && ReadAll(in.members(), kMaxMembers, packet.members) &&
                      ReadAll(in.facts(), kMaxFacts, packet.facts) &&
                      ReadAll(in.leases(), kMaxLeaseMessages, packet.leases);
   return whole ? std::optional(std::move(packet)) : std::nullopt;
