--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -121,9 +121,9 @@
     exchange_at_ = now + (joined_ ? options_.timing.exchange_every : options_.timing.probe_every / 2);
     // Every second exchange is with a member that is not present: that ends a partition whose two sides have
     // declared each other dead.
-    const bool lost = !joined_ || ++exchanges_ % 2 == 0;
-    auto with = prober_.RandomMembers(1, "", !lost);
-    if (with.empty()) with = prober_.RandomMembers(1, "", lost);
+    const bool prefer_absent = !joined_ || ++exchanges_ % 2 == 0;
+    auto with = prober_.RandomMembers(1, "", !prefer_absent);
+    if (with.empty()) with = prober_.RandomMembers(1, "", prefer_absent);
     actions.exchanges.insert(actions.exchanges.end(), with.begin(), with.end());
   }
   UpdateContactAndCatchUp(now, actions);
