--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -49,15 +49,15 @@
   fleet.timing = options_.timing;
   fleet.sites = options_.sites;
   fleet.seed = options_.seed;
-  fleet.floor = WallMillis() / 1000;
-  std::string trouble;
-  if (!file_.Read(fleet.memory, trouble) && !trouble.empty()) {
+  fleet.epoch_floor = WallMillis() / 1000;
+  std::string error;
+  if (!file_.Read(fleet.memory, error) && !error.empty()) {
     events_.Put(
-        {FleetEvent::Kind::kTrouble, "fleet.memory " + trouble + "; the other voters are asked", "", 0});
+        {FleetEvent::Kind::kProblem, "fleet.memory " + error + "; the other voters are asked", "", 0});
   }
   fleet.start = fleet.memory.start = std::max(fleet.memory.start + 1, WallMillis());
   if (!file_.Write(fleet.memory)) return "fleet.memory cannot be written in the state folder";
-  fleet_ = std::make_unique<Fleet>(std::move(fleet), clock_.Now());
+  fleet_ = std::make_unique<FleetMember>(std::move(fleet), clock_.Now());
   transport_ = std::make_unique<Transport>(loop_, static_cast<Transport::Handler&>(*this), options_.roster,
                                            options_.name, counters_);
   if (std::string reason = transport_->Listen(options_.listen); !reason.empty()) return reason;
@@ -94,17 +94,17 @@
   Actions actions;
   fleet_->OnPacket(packet, clock_.Now(), actions);
   Dispatch(actions);
-  ScheduleTick();
+  PublishAndScheduleTick();
 }
 
 Packet Agent::ExchangePacket(bool answer) { return fleet_->ExchangePacket(answer); }
 
 void Agent::Tick() {
   Actions actions;
-  fleet_->SetLocalConditions(list_, clients_);
+  fleet_->SetLocalConditions(discovery_up_, clients_connected_);
   fleet_->Tick(clock_.Now(), actions);
   Dispatch(actions);
-  ScheduleTick();
+  PublishAndScheduleTick();
 }
 
 void Agent::Dispatch(const Actions& actions) {
@@ -113,7 +113,7 @@
     may_promise = file_.Write(fleet_->memory());
     if (may_promise == memory_fails_) {
       memory_fails_ = !may_promise;
-      events_.Put({FleetEvent::Kind::kTrouble,
+      events_.Put({FleetEvent::Kind::kProblem,
                    may_promise ? "fleet.memory can be written again"
                                : "fleet.memory can't be written; this voter is silent",
                    "", 0});
@@ -136,7 +136,7 @@
   on_change_();
 }
 
-void Agent::ScheduleTick() {
+void Agent::PublishAndScheduleTick() {
   const Micros now = clock_.Now();
   const bool publish = now >= publish_at_;
   if (publish) {
--- a/src/fleet/agent.h
+++ b/src/fleet/agent.h
@@ -1,6 +1,6 @@
-// Runs a Fleet (fleet.h) on real sockets: one thread with its own event loop feeds packets and the time into
-// the state machine, sends its packets, keeps the voter's memory on disk and publishes snapshots. No protocol
-// decision is made here.
+// Runs a FleetMember (fleet.h) on real sockets: one thread with its own event loop feeds packets and the time
+// into the state machine, sends its packets, keeps the voter's memory on disk and publishes snapshots. No
+// protocol decision is made here.
 #pragma once
 
 #include <atomic>
@@ -56,7 +56,7 @@
 class Agent : private Transport::Handler {
  public:
   // `on_change` is called on the agent's thread after a snapshot was published. An event that comes without a
-  // new snapshot (trouble with fleet.memory) is not announced by itself; it waits for the next call.
+  // new snapshot (a problem with fleet.memory) is not announced by itself; it waits for the next call.
   // `published` must outlive the agent.
   Agent(AgentOptions options, PublishedSnapshot& published, std::function<void()> on_change);
   ~Agent() override;
@@ -68,10 +68,10 @@
 
   // The following may be called from any thread.
 
-  // See Fleet::SetLocalConditions.
-  void SetLocalConditions(bool list, bool clients) {
-    list_ = list;
-    clients_ = clients;
+  // See FleetMember::SetLocalConditions.
+  void SetLocalConditions(bool discovery_up, bool clients_connected) {
+    discovery_up_ = discovery_up;
+    clients_connected_ = clients_connected;
   }
   // Removes and returns the events since the last call, oldest first.
   std::vector<FleetEvent> TakeEvents() { return events_.TakeAll(); }
@@ -85,14 +85,14 @@
   // Persists the voter's memory where asked for, then sends packets and begins exchanges.
   void Dispatch(const Actions& actions);
   void PublishIfChanged();
-  void ScheduleTick();
+  void PublishAndScheduleTick();
   void Close();
 
   const AgentOptions options_;
   PublishedSnapshot& published_;
   const std::function<void()> on_change_;
   const SteadyClock clock_;
-  const MemoryFile file_;
+  const VoterMemoryFile file_;
   Counters counters_;
   Mailbox<FleetEvent> events_;
   Snapshot last_published_;
@@ -100,12 +100,12 @@
   Micros publish_at_{0};
   // The last write of the voter's memory failed.
   bool memory_fails_ = false;
-  std::atomic<bool> list_{true};
-  std::atomic<bool> clients_{true};
+  std::atomic<bool> discovery_up_{true};
+  std::atomic<bool> clients_connected_{true};
   net::Loop loop_;
   // The only libuv handle that other threads may touch.
   std::unique_ptr<net::Wakeup> close_request_;
-  std::unique_ptr<Fleet> fleet_;
+  std::unique_ptr<FleetMember> fleet_;
   std::unique_ptr<Transport> transport_;
   std::unique_ptr<net::Timer> tick_;
   std::thread thread_;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -37,11 +37,11 @@
 
 }  // namespace
 
-Fleet::Fleet(FleetOptions options, Micros now)
+FleetMember::FleetMember(FleetOptions options, Micros now)
     : options_(WithMixedSeed(std::move(options))),
       voters_(VoterNames(options_.roster, "")),
       votes_(std::find(voters_.begin(), voters_.end(), options_.name) != voters_.end()),
-      electorate_(Fingerprint(voters_)),
+      voters_hash_(Fingerprint(voters_)),
       members_(options_.name, options_.start, options_.roster, options_.timing, gossip_),
       prober_(members_, options_.timing, options_.seed, now),
       quorum_contact_(options_.name, options_.roster, options_.timing, now),
@@ -51,31 +51,31 @@
       gossip_at_(now),
       exchange_at_(now),
       recovery_request_at_(now),
-      refresh_at_(now) {
+      catch_up_at_(now) {
   for (const Peer& peer : options_.roster)
     if (peer.name == options_.name) site_ = peer.site;
   if (!votes_) return;
   const auto [it, added] =
       proposers_.try_emplace(kCoordinator, options_.name, options_.start, kCoordinator, voters_,
-                             options_.timing, options_.seed + 1, options_.floor);
+                             options_.timing, options_.seed + 1, options_.epoch_floor);
   Proposer::LeaseMessages none;
   it->second.SetWanted(true, now, none);
 }
 
-Packet Fleet::Make(PacketKind kind) const {
+Packet FleetMember::MakePacket(PacketKind kind) const {
   Packet packet;
   const MemberUpdate self = members_.Self();
   packet.kind = kind;
   packet.from = options_.name;
   packet.start = self.start;
   packet.incarnation = self.incarnation;
-  packet.electorate = electorate_;
+  packet.voters_hash = voters_hash_;
   return packet;
 }
 
-void Fleet::Send(PacketKind kind, const std::string& to, std::uint64_t seq, const std::string& target,
-                 Actions& actions) {
-  Packet packet = Make(kind);
+void FleetMember::Send(PacketKind kind, const std::string& to, std::uint64_t seq, const std::string& target,
+                       Actions& actions) {
+  Packet packet = MakePacket(kind);
   packet.seq = seq;
   packet.target = target;
   std::size_t room = kMaxDatagramBytes - kHeaderBytes;
@@ -89,12 +89,12 @@
   actions.packets.emplace_back(to, std::move(packet));
 }
 
-void Fleet::Dispatch(const Prober::ProbeMessages& messages, Actions& actions) {
+void FleetMember::Dispatch(const Prober::ProbeMessages& messages, Actions& actions) {
   for (const Prober::ProbeMessage& message : messages)
     Send(message.kind, message.to, message.seq, message.target, actions);
 }
 
-void Fleet::Tick(Micros now, Actions& actions) {
+void FleetMember::Tick(Micros now, Actions& actions) {
   // The tick comes long after it was due: this process stood still. Answers that it missed meanwhile are no
   // evidence against the others.
   const Micros gap = now - std::max(last_tick_, std::min(NextDue(), now));
@@ -121,12 +121,12 @@
     exchange_at_ = now + (joined_ ? options_.timing.exchange_every : options_.timing.probe_every / 2);
     // Every second exchange is with a member that is not present: that ends a partition whose two sides have
     // declared each other dead.
-    const bool lost = !joined_ || ++exchanges_ % 2 == 0;
-    auto with = prober_.RandomMembers(1, "", !lost);
-    if (with.empty()) with = prober_.RandomMembers(1, "", lost);
+    const bool prefer_absent = !joined_ || ++exchanges_ % 2 == 0;
+    auto with = prober_.RandomMembers(1, "", !prefer_absent);
+    if (with.empty()) with = prober_.RandomMembers(1, "", prefer_absent);
     actions.exchanges.insert(actions.exchanges.end(), with.begin(), with.end());
   }
-  Refresh(now, actions);
+  UpdateContactAndCatchUp(now, actions);
   if (votes_ && acceptor_.NeedsRecovery() && now >= recovery_request_at_) {
     recovery_request_at_ = now + options_.timing.lease / kRecoveryRequestsPerTerm;
     Proposer::LeaseMessages messages;
@@ -144,9 +144,9 @@
   Coordinate(now);
 }
 
-Micros Fleet::NextDue() const {
+Micros FleetMember::NextDue() const {
   Micros due = std::min({prober_.NextDue(), quorum_contact_.NextDue(), exchange_at_, members_.NextExpiry()});
-  if (in_contact_ && !Refreshed()) due = std::min(due, refresh_at_);
+  if (in_contact_ && !CaughtUp()) due = std::min(due, catch_up_at_);
   if (in_contact_)
     due = std::min(due, *quorum_contact_.LastConfirmed(last_tick_) + options_.timing.lease + Micros(1));
   if (!gossip_.empty()) due = std::min(due, gossip_at_);
@@ -155,14 +155,14 @@
   return due;
 }
 
-void Fleet::Merge(const Packet& packet, Micros now) {
+void FleetMember::Merge(const Packet& packet, Micros now) {
   members_.Apply({packet.from, packet.start, packet.incarnation, Liveness::kAlive, ""}, now);
   for (const MemberUpdate& update : packet.members) members_.Apply(update, now);
   for (const Fact& fact : packet.facts)
     if (facts_.Merge(fact)) gossip_.Add(fact);
 }
 
-void Fleet::OnPacket(const Packet& packet, Micros now, Actions& actions) {
+void FleetMember::OnPacket(const Packet& packet, Micros now, Actions& actions) {
   if (packet.from == options_.name || !members_.Knows(packet.from)) return;
   // The packet is from an earlier process of its sender, delayed on the network, or the sender's start
   // numbers began anew. In the second case, once the process with the higher number counts as dead, the
@@ -172,7 +172,7 @@
     return;
   }
   const bool voter = members_.all().at(packet.from).peer.votes;
-  if (packet.electorate != electorate_ && (voter || votes_)) {
+  if (packet.voters_hash != voters_hash_ && (voter || votes_)) {
     voters_differed_at_ = now;
     acceptor_.SilenceUntil(now + 2 * options_.timing.lease);
   }
@@ -189,27 +189,27 @@
     case PacketKind::kPingReq: prober_.OnPingReq(packet.from, packet.seq, packet.target, now, probes); break;
     case PacketKind::kNack: prober_.OnNack(packet.seq); break;
     case PacketKind::kLease:
-      if (packet.electorate == electorate_) OnLeases(packet, now, actions);
+      if (packet.voters_hash == voters_hash_) OnLeases(packet, now, actions);
       break;
     case PacketKind::kExchange:
     case PacketKind::kExchangeReply:
       joined_ = true;
-      if (voter) refreshed_.insert(packet.from);
+      if (voter) state_received_from_.insert(packet.from);
       break;
     case PacketKind::kGossip: break;
   }
   Dispatch(probes, actions);
 }
 
-Packet Fleet::ExchangePacket(bool answer) const {
-  Packet packet = Make(answer ? PacketKind::kExchangeReply : PacketKind::kExchange);
+Packet FleetMember::ExchangePacket(bool answer) const {
+  Packet packet = MakePacket(answer ? PacketKind::kExchangeReply : PacketKind::kExchange);
   for (const auto& [name, member] : members_.all())
     if (member.known) packet.members.push_back(member.latest);
   for (const auto& [key, fact] : facts_.all()) packet.facts.push_back(fact);
   return packet;
 }
 
-void Fleet::Leave(Micros now, Actions& actions) {
+void FleetMember::Leave(Micros now, Actions& actions) {
   leaving_ = true;
   members_.Leave();
   Proposer::LeaseMessages messages;
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -43,7 +43,7 @@
 // Key of the fact that holds the agreed number of senders.
 inline constexpr char kSendersFact[] = "senders";
 
-// Configuration and initial state of a Fleet.
+// Configuration and initial state of a FleetMember.
 struct FleetOptions {
   std::string name;
   // Start number of this process: higher than that of every earlier process of the name, as far as known.
@@ -56,13 +56,13 @@
   // What the voter's file holds.
   VoterMemory memory;
   // See Proposer.
-  std::uint64_t floor = 0;
+  std::uint64_t epoch_floor = 0;
 };
 
 // State machine of one member. All times are of one steady clock of the process.
-class Fleet {
+class FleetMember {
  public:
-  Fleet(FleetOptions options, Micros now);
+  FleetMember(FleetOptions options, Micros now);
 
   // Does what is due at `now`; appends what is to be sent to `actions`.
   void Tick(Micros now, Actions& actions);
@@ -70,9 +70,9 @@
   Micros NextDue() const;
   // Handles one received packet.
   void OnPacket(const Packet& packet, Micros now, Actions& actions);
-  // Sets what this process tells others about itself: whether its discovery watch is up (`list`), and whether
-  // clients are connected.
-  void SetLocalConditions(bool list, bool clients);
+  // Sets what this process tells others about itself: whether its discovery watch is up, and whether clients
+  // are connected.
+  void SetLocalConditions(bool discovery_up, bool clients_connected);
   // A packet with all known members and facts, as reply (`answer`) or as request.
   Packet ExchangePacket(bool answer) const;
   // Tells some members that this one leaves, and releases its leases.
@@ -93,7 +93,7 @@
   const VoterMemory& memory() const { return acceptor_.memory(); }
 
  private:
-  Packet Make(PacketKind kind) const;
+  Packet MakePacket(PacketKind kind) const;
   void Send(PacketKind kind, const std::string& to, std::uint64_t seq, const std::string& target,
             Actions& actions);
   void Dispatch(const Prober::ProbeMessages& messages, Actions& actions);
@@ -103,7 +103,7 @@
   // Writes the agreed facts where this member is the coordinator.
   void Coordinate(Micros now);
   void CoordinateSites(std::uint64_t epoch, Micros now);
-  void Write(const std::string& key, const std::string& value, std::uint64_t epoch);
+  void WriteFact(const std::string& key, const std::string& value, std::uint64_t epoch);
   void PublishObservation(Micros now);
   std::map<std::string, SiteTally> TallySites() const;
   std::size_t Senders(Micros now) const;
@@ -112,15 +112,15 @@
   bool MayHoldLeases(Micros now) const;
   bool InQuorumContact(Micros now) const;
   // A majority of the voters has sent all it knows since contact was regained.
-  bool Refreshed() const;
-  void Refresh(Micros now, Actions& actions);
+  bool CaughtUp() const;
+  void UpdateContactAndCatchUp(Micros now, Actions& actions);
 
   FleetOptions options_;
   // Names of all voters, this member included where it votes.
   std::vector<std::string> voters_;
   bool votes_ = false;
   // Fingerprint of `voters_`, sent in every packet.
-  std::uint64_t electorate_;
+  std::uint64_t voters_hash_;
   Gossip gossip_;
   Members members_;
   Prober prober_;
@@ -129,7 +129,7 @@
   SiteMonitor site_monitor_;
   // Site of this member.
   std::string site_;
-  bool has_list_ = true;
+  bool has_discovery_ = true;
   bool has_clients_ = true;
   Acceptor acceptor_;
   // One per lease that this member may hold, by resource.
@@ -142,14 +142,14 @@
   // In contact with a majority of the voters at the last tick.
   bool in_contact_ = false;
   // Voters that sent all they know since contact was regained.
-  std::set<std::string> refreshed_;
+  std::set<std::string> state_received_from_;
   // When a member whose file names other voters was last heard.
   std::optional<Micros> voters_differed_at_;
   Micros last_tick_;
   Micros gossip_at_;
   Micros exchange_at_;
   Micros recovery_request_at_;
-  Micros refresh_at_;
+  Micros catch_up_at_;
   // Refutations already passed on to the prober.
   std::uint64_t refuted_ = 0;
   std::uint64_t exchanges_ = 0;
--- a/src/fleet/memory_file.cpp
+++ b/src/fleet/memory_file.cpp
@@ -24,9 +24,10 @@
 
 }  // namespace
 
-MemoryFile::MemoryFile(const std::string& folder) : folder_(folder), path_(folder + "/fleet.memory") {}
+VoterMemoryFile::VoterMemoryFile(const std::string& folder)
+    : folder_(folder), path_(folder + "/fleet.memory") {}
 
-std::string MemoryFile::Serialize(const VoterMemory& memory) {
+std::string VoterMemoryFile::Serialize(const VoterMemory& memory) {
   json promised = json::array();
   for (const auto& [resource, ballot] : memory.promised)
     promised.push_back({resource, ballot.counter, ballot.proposer, ballot.start});
@@ -35,7 +36,7 @@
   return json{{"body", body}, {"sum", Sum(body.dump())}}.dump() + "\n";
 }
 
-bool MemoryFile::Parse(std::string_view text, VoterMemory& memory) {
+bool VoterMemoryFile::Parse(std::string_view text, VoterMemory& memory) {
   try {
     const json whole = json::parse(text);
     const json& body = whole.at("body");
@@ -54,11 +55,11 @@
   }
 }
 
-bool MemoryFile::Read(VoterMemory& memory, std::string& trouble) const {
-  trouble.clear();
+bool VoterMemoryFile::Read(VoterMemory& memory, std::string& error) const {
+  error.clear();
   const base::Descriptor file(open(path_.c_str(), O_RDONLY | O_CLOEXEC));
   if (file.get() < 0) {
-    if (errno != ENOENT) trouble = std::strerror(errno);
+    if (errno != ENOENT) error = std::strerror(errno);
     return false;
   }
   std::string text;
@@ -66,15 +67,15 @@
   for (ssize_t count = 0; text.size() <= kMaxFileBytes;
        text.append(block.data(), static_cast<std::size_t>(count))) {
     count = read(file.get(), block.data(), block.size());
-    if (count < 0) trouble = std::strerror(errno);
+    if (count < 0) error = std::strerror(errno);
     if (count <= 0) break;
   }
-  if (trouble.empty() && Parse(text, memory)) return true;
-  if (trouble.empty()) trouble = "is damaged";
+  if (error.empty() && Parse(text, memory)) return true;
+  if (error.empty()) error = "is damaged";
   return false;
 }
 
-bool MemoryFile::Write(const VoterMemory& memory) const {
+bool VoterMemoryFile::Write(const VoterMemory& memory) const {
   const std::string beside = path_ + ".new";
   {
     const base::Descriptor file(open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
--- a/tests/fleet/fleet_wire_test.cpp
+++ b/tests/fleet/fleet_wire_test.cpp
@@ -23,7 +23,7 @@
   Packet packet;
   packet.kind = PacketKind::kLease;
   packet.from = "node-1", packet.start = 1764600000000, packet.incarnation = 3,
-  packet.electorate = 0xfedcba9876543210;
+  packet.voters_hash = 0xfedcba9876543210;
   packet.seq = 1ull << 62, packet.target = "node-2";
   packet.members = {Update("node-3", Liveness::kSuspect, 9, 2, "node-1"), Update("node-4", Liveness::kLeft)};
   packet.facts = {{"senders", "node-1", std::string("3\0x", 3), 12, 4}};
@@ -84,7 +84,7 @@
     return !Decode(Encode(packet)).has_value();
   };
   EXPECT_TRUE(refused([](Packet& p) { p.start = 0; }));
-  EXPECT_TRUE(refused([](Packet& p) { p.electorate = 0; }));
+  EXPECT_TRUE(refused([](Packet& p) { p.voters_hash = 0; }));
   EXPECT_TRUE(refused([](Packet& p) { p.members[0].start = 0; }));
   EXPECT_TRUE(refused([](Packet& p) { p.members[0].accuser.clear(); })) << "a suspicion without an accuser";
   EXPECT_TRUE(refused([](Packet& p) { p.facts[0].owner.clear(); }));
@@ -179,25 +179,25 @@
   const std::string folder = ::testing::TempDir() + "fleet-memory";
   std::filesystem::remove_all(folder);
   std::filesystem::create_directories(folder);
-  const MemoryFile file(folder);
+  const VoterMemoryFile file(folder);
   VoterMemory memory, read;
-  std::string trouble;
-  EXPECT_FALSE(file.Read(read, trouble));
-  EXPECT_EQ(trouble, "");
+  std::string error;
+  EXPECT_FALSE(file.Read(read, error));
+  EXPECT_EQ(error, "");
   memory.promised["x"] = {5, "a \"quoted\" name", 8};
   memory.start = 77, memory.complete = true;
   ASSERT_TRUE(file.Write(memory));
-  ASSERT_TRUE(file.Read(read, trouble)) << trouble;
+  ASSERT_TRUE(file.Read(read, error)) << error;
   EXPECT_TRUE(read == memory);
-  const std::string text = MemoryFile::Serialize(memory);
+  const std::string text = VoterMemoryFile::Serialize(memory);
   for (std::size_t cut = 0; cut < text.size() - 1; ++cut)
-    EXPECT_FALSE(MemoryFile::Parse(text.substr(0, cut), read));
+    EXPECT_FALSE(VoterMemoryFile::Parse(text.substr(0, cut), read));
   std::string changed = text;
   changed[changed.find("77")] = '9';
   std::ofstream(folder + "/fleet.memory") << changed;
-  EXPECT_FALSE(file.Read(read, trouble));
-  EXPECT_NE(trouble, "");
-  EXPECT_FALSE(MemoryFile(folder + "/none").Write(memory));
+  EXPECT_FALSE(file.Read(read, error));
+  EXPECT_NE(error, "");
+  EXPECT_FALSE(VoterMemoryFile(folder + "/none").Write(memory));
 }
 
 TEST(FleetEventsTest, ReportOnlyWhatChanged) {
