--- a/tests/duplicates.h
+++ b/tests/duplicates.h
@@ -29,7 +29,7 @@
   void StartNodeAndEndpoints(const AnswerBehavior& habits, std::uint64_t seed) {
     for (int i = 0; i < 2 * kDestinations; ++i) {
       endpoints.push_back(
-          std::make_unique<RecordedEndpoint>(record, later, seed * 100 + endpoints.size(), habits));
+          std::make_unique<RecordedEndpoint>(record, delayed_writes, seed * 100 + endpoints.size(), habits));
       platform.Set(PlatformStandIn::Member("s-" + std::to_string(i), endpoints.back()->address(),
                                            1 + i % kDestinations));
     }
@@ -117,7 +117,7 @@
   }
 
   CallRecord record;
-  DelayedWrites later;
+  DelayedWrites delayed_writes;
   PlatformStandIn platform;
   std::vector<std::unique_ptr<RecordedEndpoint>> endpoints;
   NodeProcess node;
--- a/tests/node_duplicates_test.cpp
+++ b/tests/node_duplicates_test.cpp
@@ -63,7 +63,7 @@
     platform.AnswerNoticesWith([this, answer, max_delay_millis](Socket& socket) {
       const int delay = std::uniform_int_distribution<int>(0, max_delay_millis)(random_);
       if (!socket.Write(answer)) return false;
-      later.Write(socket, milliseconds(delay), answer);
+      delayed_writes.Write(socket, milliseconds(delay), answer);
       return true;
     });
     if (leaves_some_unread) platform.ReadNoticesIf([](int post) { return post % 5 != 0; });
@@ -155,8 +155,8 @@
   const std::string whole_again = "{\"seq\":2,\"whole\":true,\"hosts\":[";
   std::string ready;
   for (int i = 0; i < 2; ++i) {
-    endpoints.push_back(
-        std::make_unique<RecordedEndpoint>(record, later, 7 + static_cast<std::uint64_t>(i), habits));
+    endpoints.push_back(std::make_unique<RecordedEndpoint>(record, delayed_writes,
+                                                           7 + static_cast<std::uint64_t>(i), habits));
     const auto member = PlatformStandIn::Member("s-" + std::to_string(i), endpoints.back()->address(), 1);
     platform.Set(member);
     ready += (i > 0 ? "," : "") + member.dump();
@@ -166,7 +166,7 @@
     const std::string line = whole_again + ready + "]}\n";
     std::ostringstream size;
     size << std::hex << line.size();
-    later.Write(socket, milliseconds(50), size.str() + "\r\n" + line + "\r\n");
+    delayed_writes.Write(socket, milliseconds(50), size.str() + "\r\n" + line + "\r\n");
   });
   ASSERT_TRUE(node.Start());
   const auto enqueue = [&](const std::string& id) {
