--- a/tests/duplicates.h
+++ b/tests/duplicates.h
@@ -26,10 +26,10 @@
   }
 
   // Creates the endpoints, starts the node and waits until it knows their list.
-  void StartNodeAndEndpoints(const AnswerBehavior& habits, std::uint64_t seed) {
+  void StartNodeAndEndpoints(const AnswerBehavior& behavior, std::uint64_t seed) {
     for (int i = 0; i < 2 * kDestinations; ++i) {
-      endpoints.push_back(
-          std::make_unique<RecordedEndpoint>(record, delayed_writes, seed * 100 + endpoints.size(), habits));
+      endpoints.push_back(std::make_unique<RecordedEndpoint>(record, delayed_writes,
+                                                             seed * 100 + endpoints.size(), behavior));
       platform.Set(PlatformStandIn::Member("s-" + std::to_string(i), endpoints.back()->address(),
                                            1 + i % kDestinations));
     }
@@ -94,8 +94,8 @@
     }
     std::cout << "[  judged  ] " << evaluation.accepted << " taken on, " << evaluation.lost << " lost, "
               << evaluation.concurrent << " with two calls at once, " << evaluation.repeated
-              << " called again though it may have run, " << notices.size() << " notices, " << Copies()
-              << " copies, " << Connections() << " connections\n";
+              << " called again though it may have run, " << notices.size() << " notices, "
+              << DuplicateCount() << " copies, " << Connections() << " connections\n";
     return evaluation;
   }
   void ExpectNoneLostOrConcurrent() {
@@ -105,10 +105,10 @@
     EXPECT_EQ(evaluation.concurrent, 0);
   }
   // Responses that the endpoints sent a second time.
-  int Copies() const {
-    int copies = 0;
-    for (const auto& endpoint : endpoints) copies += endpoint->duplicates();
-    return copies;
+  int DuplicateCount() const {
+    int duplicates = 0;
+    for (const auto& endpoint : endpoints) duplicates += endpoint->duplicates();
+    return duplicates;
   }
   int Connections() const {
     int connections = 0;
--- a/tests/node_copies_soak_test.cpp
+++ b/tests/node_copies_soak_test.cpp
@@ -35,21 +35,21 @@
     parameters_.pause = milliseconds(150);
   }
 
-  AnswerBehavior DrawHabits() {
+  AnswerBehavior DrawBehavior() {
     const DelayRange spans[] = {{milliseconds(0), milliseconds(5)},
                                 {milliseconds(1), milliseconds(60)},
                                 {milliseconds(0), milliseconds(400)},
                                 {milliseconds(20), milliseconds(2000)}};
-    AnswerBehavior habits;
-    habits.service_time = {milliseconds(2), milliseconds(40 + 80 * Draw(3))};
-    habits.duplicate_delay = spans[Draw(3)];
-    habits.duplicated = 0.1 * (1 + Draw(3));
-    habits.refused = 0.05 * (1 + Draw(4));
-    habits.truncate_duplicates = Draw(5) == 0;
-    if (Draw(3) == 0) habits.refusal = Answer(429, "X-Retry-In-Ms: 100\r\n");
-    habits.error = habits.reset = 0.02;
-    habits.silent = 0.01;
-    return habits;
+    AnswerBehavior behavior;
+    behavior.service_time = {milliseconds(2), milliseconds(40 + 80 * Draw(3))};
+    behavior.duplicate_delay = spans[Draw(3)];
+    behavior.duplicated = 0.1 * (1 + Draw(3));
+    behavior.refused = 0.05 * (1 + Draw(4));
+    behavior.truncate_duplicates = Draw(5) == 0;
+    if (Draw(3) == 0) behavior.refusal = Answer(429, "X-Retry-In-Ms: 100\r\n");
+    behavior.error = behavior.reset = 0.02;
+    behavior.silent = 0.01;
+    return behavior;
   }
 
   void ConfigurePlatform() {
@@ -76,7 +76,7 @@
   void Build() {
     for (int i = 0; i < 2 * parameters_.destinations; ++i) {
       endpoints_.push_back(std::make_unique<RecordedEndpoint>(
-          call_record_, delayed_writes_, GetParam() * 100 + endpoints_.size(), DrawHabits()));
+          call_record_, delayed_writes_, GetParam() * 100 + endpoints_.size(), DrawBehavior()));
       first_list_.push_back(Member(i, "Ready"));
     }
     ConfigurePlatform();
--- a/tests/node_duplicates_test.cpp
+++ b/tests/node_duplicates_test.cpp
@@ -13,7 +13,7 @@
 
 struct DuplicatedResponses {
   const char* name;
-  AnswerBehavior habits;
+  AnswerBehavior behavior;
 };
 
 class DuplicatedResponsesTest : public DuplicatesTest,
@@ -22,38 +22,38 @@
 // Guards against a call that is ended by the response to another call, which loses messages or makes two
 // calls at once.
 TEST_P(DuplicatedResponsesTest, EndNoOtherCall) {
-  StartNodeAndEndpoints(GetParam().habits, 1);
+  StartNodeAndEndpoints(GetParam().behavior, 1);
   EnqueueAndFinish(milliseconds(6000));
-  EXPECT_GT(Copies(), 20);
+  EXPECT_GT(DuplicateCount(), 20);
   ExpectNoneLostOrConcurrent();
 }
 
-AnswerBehavior CopyingHabits(double copied, int least, int most) {
-  AnswerBehavior habits;
-  habits.duplicated = copied;
-  habits.duplicate_delay = {milliseconds(least), milliseconds(most)};
-  return habits;
+AnswerBehavior DuplicatingBehavior(double copied, int least, int most) {
+  AnswerBehavior behavior;
+  behavior.duplicated = copied;
+  behavior.duplicate_delay = {milliseconds(least), milliseconds(most)};
+  return behavior;
 }
-AnswerBehavior WithSlowCalls(AnswerBehavior habits, int least, int most, double refused) {
-  habits.service_time = {milliseconds(least), milliseconds(most)};
-  habits.refused = refused;
-  return habits;
+AnswerBehavior WithSlowCalls(AnswerBehavior behavior, int least, int most, double refused) {
+  behavior.service_time = {milliseconds(least), milliseconds(most)};
+  behavior.refused = refused;
+  return behavior;
 }
-AnswerBehavior WithHalfCopies(AnswerBehavior habits) {
-  habits.truncate_duplicates = true;
-  return habits;
+AnswerBehavior WithTruncatedDuplicates(AnswerBehavior behavior) {
+  behavior.truncate_duplicates = true;
+  return behavior;
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Copies, DuplicatedResponsesTest,
     ::testing::Values(
-        DuplicatedResponses{"AtOnce", CopyingHabits(0.3, 0, 1)},
-        DuplicatedResponses{"Soon", CopyingHabits(0.15, 1, 20)},
-        DuplicatedResponses{"WithinAnotherCall", CopyingHabits(0.3, 0, 400)},
-        DuplicatedResponses{"OfSlowCalls", WithSlowCalls(CopyingHabits(0.3, 1, 60), 100, 400, 0.15)},
-        DuplicatedResponses{"OfRefusals", WithSlowCalls(CopyingHabits(0.6, 0, 400), 300, 700, 0.4)},
-        DuplicatedResponses{"Late", CopyingHabits(0.3, 20, 2000)},
-        DuplicatedResponses{"Half", WithHalfCopies(CopyingHabits(0.3, 0, 400))}),
+        DuplicatedResponses{"AtOnce", DuplicatingBehavior(0.3, 0, 1)},
+        DuplicatedResponses{"Soon", DuplicatingBehavior(0.15, 1, 20)},
+        DuplicatedResponses{"WithinAnotherCall", DuplicatingBehavior(0.3, 0, 400)},
+        DuplicatedResponses{"OfSlowCalls", WithSlowCalls(DuplicatingBehavior(0.3, 1, 60), 100, 400, 0.15)},
+        DuplicatedResponses{"OfRefusals", WithSlowCalls(DuplicatingBehavior(0.6, 0, 400), 300, 700, 0.4)},
+        DuplicatedResponses{"Late", DuplicatingBehavior(0.3, 20, 2000)},
+        DuplicatedResponses{"Half", WithTruncatedDuplicates(DuplicatingBehavior(0.3, 0, 400))}),
     [](const auto& param_info) { return std::string(param_info.param.name); });
 
 // The endpoints refuse all calls, so that every message ends by a notice.
@@ -67,9 +67,9 @@
       return true;
     });
     if (leaves_some_unread) platform.ReadNoticesIf([](int post) { return post % 5 != 0; });
-    AnswerBehavior habits;
-    habits.refused = 1;
-    StartNodeAndEndpoints(habits, 2);
+    AnswerBehavior behavior;
+    behavior.refused = 1;
+    StartNodeAndEndpoints(behavior, 2);
     EnqueueAndFinish(milliseconds(4000));
     ExpectNoneLostOrConcurrent();
   }
@@ -97,9 +97,9 @@
 
 // Guards against a message that runs twice because its command is sent again after it has ended.
 TEST_F(DuplicatedCommands, RunOnce) {
-  AnswerBehavior habits;
-  habits.refused = 0;
-  StartNodeAndEndpoints(habits, 4);
+  AnswerBehavior behavior;
+  behavior.refused = 0;
+  StartNodeAndEndpoints(behavior, 4);
   for (int i = 0; i < 40; ++i) {
     const std::string id = "u" + std::to_string(i);
     ASSERT_EQ(ClientStandIn(node.port).Ask(Unsafe(id)), "+OK");
@@ -114,9 +114,9 @@
 
 // The same with a kill and a start of the process between a command and its copy.
 TEST_F(DuplicatedCommands, RunOnceOverARestart) {
-  AnswerBehavior habits;
-  habits.refused = 0;
-  StartNodeAndEndpoints(habits, 5);
+  AnswerBehavior behavior;
+  behavior.refused = 0;
+  StartNodeAndEndpoints(behavior, 5);
   for (int i = 0; i < 5; ++i) ASSERT_EQ(ClientStandIn(node.port).Ask(Unsafe("u" + std::to_string(i))), "+OK");
   for (int i = 0; i < 5; ++i) RecordAccepted("u" + std::to_string(i));
   std::this_thread::sleep_for(milliseconds(400));
@@ -131,10 +131,10 @@
 // Guards against a copy of a refused command that is accepted.
 TEST_F(DuplicatedCommands, OfARefusedCommandAreRefused) {
   node.config["settings"]["caps"]["maxOpen"] = 4;
-  AnswerBehavior habits;
-  habits.refused = 0;
-  habits.service_time = {milliseconds(250), milliseconds(250)};
-  StartNodeAndEndpoints(habits, 6);
+  AnswerBehavior behavior;
+  behavior.refused = 0;
+  behavior.service_time = {milliseconds(250), milliseconds(250)};
+  StartNodeAndEndpoints(behavior, 6);
   std::this_thread::sleep_for(milliseconds(500));
   std::string refused;
   for (int i = 0; i < 10 && refused.empty(); ++i) {
@@ -150,13 +150,13 @@
 
 // Guards against calls to a draining endpoint because an older line or list of the watch is sent again.
 TEST_F(DuplicatesTest, AnOlderLineOfTheListDoesNotUndoADrain) {
-  AnswerBehavior habits;
-  habits.refused = 0;
+  AnswerBehavior behavior;
+  behavior.refused = 0;
   const std::string whole_again = "{\"seq\":2,\"whole\":true,\"hosts\":[";
   std::string ready;
   for (int i = 0; i < 2; ++i) {
     endpoints.push_back(std::make_unique<RecordedEndpoint>(record, delayed_writes,
-                                                           7 + static_cast<std::uint64_t>(i), habits));
+                                                           7 + static_cast<std::uint64_t>(i), behavior));
     const auto member = PlatformStandIn::Member("s-" + std::to_string(i), endpoints.back()->address(), 1);
     platform.Set(member);
     ready += (i > 0 ? "," : "") + member.dump();
