--- a/tests/brain_completion_test.cpp
+++ b/tests/brain_completion_test.cpp
@@ -42,7 +42,7 @@
 // Guards against the same where a message was delivered at the last moment, perhaps too late: its outcome is
 // reported to the client as well, and the key waits for that.
 TEST(OrderedCompletion, KeyWaitsForTheNoticeOfADeliveryInDoubt) {
-  for (const bool untold : {true, false}) {
+  for (const bool notice_pending : {true, false}) {
     TestNode node(OrderedSettings());
     node.Turn(kStart, [&] {
       node.UpdateList({TestNode::MakeEndpoint(7, "a"), TestNode::MakeEndpoint(8, "b")});
@@ -55,10 +55,10 @@
       outcome.endpoint = "a";
       outcome.result = Result::kOk;
       outcome.last = true;
-      outcome.answer_pending = untold;
+      outcome.answer_pending = notice_pending;
       node.brain().OnOutcome(outcome);
     });
-    EXPECT_EQ(node.CountSends(MessageId{2}), untold ? 0 : 1);
+    EXPECT_EQ(node.CountSends(MessageId{2}), notice_pending ? 0 : 1);
     node.Turn(kStart + seconds(2), [&] { node.brain().OnAnswerDelivered(1); });
     EXPECT_EQ(node.CountSends(MessageId{2}), 1);
     EXPECT_EQ(node.answers[1], 0);
