--- a/tests/brain_slow_start_test.cpp
+++ b/tests/brain_slow_start_test.cpp
@@ -19,7 +19,7 @@
 using Outage = FleetScript::Outage;
 
 // The size of the fleet, what the destination takes, and the demand for it.
-struct Regime {
+struct FleetCase {
   const char* name = "";
   int senders = 0;
   double capacity = 0;  // calls a second
@@ -27,7 +27,7 @@
   bool reports_limit = true;
   double restarted_share = 0;  // of the senders; they are killed half a second before the return
   // Least share of the capacity that must be served from the return on: about 0.85 of what was measured over
-  // the five kinds of outage, with even and uneven demand. The comment behind each regime gives what was
+  // the five kinds of outage, with even and uneven demand. The comment behind each case gives what was
   // served before the fix, and in how many of 30 runs the rule was broken.
   double least_served = 0;
 };
@@ -44,77 +44,78 @@
 }
 
 // How far a run kept rule 4.
-struct Verdict {
+struct RunResult {
   bool over_budget = false;  // some span got more calls than allowed
   // The rule is broken: over two thirds of such a span's calls were from senders that had seen a call fail in
   // the outage.
-  bool broken = false;
+  bool rule_broken = false;
   double served = 0;  // share of the capacity, from the return to the end of the cold time
   double worst = 0;   // calls beyond what is allowed, in the worst span
 };
 
-Verdict RunRegime(const Regime& regime, Outage outage, bool uneven, std::uint64_t seed) {
+RunResult RunCase(const FleetCase& fleet_case, Outage outage, bool uneven, std::uint64_t seed) {
   const Settings settings = LargeFleetSettings();
   FleetScript script;
-  script.rate = regime.capacity;
+  script.rate = fleet_case.capacity;
   script.outage_from = seconds(5);
   script.outage_to = seconds(15);
   script.outage = outage;
   script.uneven = uneven ? 0.9 : 0;
-  script.reports_limit = regime.reports_limit;
+  script.reports_limit = fleet_case.reports_limit;
   script.restart_at = script.outage_to - milliseconds(500);
-  script.restarted_share = regime.restarted_share;
-  SimulatedFleet fleet(regime.senders, settings, script, seed);
-  fleet.Run(script.outage_to + settings.cold, regime.demand * regime.capacity);
-  Verdict verdict;
-  verdict.worst = -1e9;
+  script.restarted_share = fleet_case.restarted_share;
+  SimulatedFleet fleet(fleet_case.senders, settings, script, seed);
+  fleet.Run(script.outage_to + settings.cold, fleet_case.demand * fleet_case.capacity);
+  RunResult result;
+  result.worst = -1e9;
   for (Micros after{0}; after + settings.fall <= settings.cold; after += milliseconds(100)) {
     const SimulatedFleet::CallCounts span =
         fleet.Between(script.outage_to + after, script.outage_to + after + settings.fall);
-    const double over = span.total() - Allowed(settings, regime.capacity, after);
-    verdict.worst = std::max(verdict.worst, over);
-    verdict.over_budget |= over > 0;
-    verdict.broken |= over > 0 && span.from_aware * 3 > span.total() * 2;
+    const double over = span.total() - Allowed(settings, fleet_case.capacity, after);
+    result.worst = std::max(result.worst, over);
+    result.over_budget |= over > 0;
+    result.rule_broken |= over > 0 && span.from_aware * 3 > span.total() * 2;
   }
   const SimulatedFleet::CallCounts cold_time =
       fleet.Between(script.outage_to, script.outage_to + settings.cold);
-  verdict.served = cold_time.served / (regime.capacity * Seconds(settings.cold));
-  return verdict;
+  result.served = cold_time.served / (fleet_case.capacity * Seconds(settings.cold));
+  return result;
 }
 
-class SlowStart : public ::testing::TestWithParam<Regime> {};
+class SlowStart : public ::testing::TestWithParam<FleetCase> {};
 
 TEST_P(SlowStart, CallsOfAllSendersStayWithinTheBudgetAndAreServed) {
-  const Regime regime = GetParam();
+  const FleetCase fleet_case = GetParam();
   const char* wanted = std::getenv("INDIGOSADDLE_SEEDS");
   const int seeds = wanted == nullptr ? 1 : std::atoi(wanted);
   int runs = 0;
   int over_budget = 0;
-  int broken = 0;
+  int rule_broken = 0;
   double served = 0;
   double worst = -1e9;
   for (Outage outage :
        {Outage::kDown, Outage::kHung, Outage::kRefusing, Outage::kFailing, Outage::kRefusingFromLimit}) {
     for (bool uneven : {false, true}) {
       for (int seed = 0; seed < seeds; ++seed) {
-        const Verdict verdict = RunRegime(regime, outage, uneven, 12345 + static_cast<std::uint64_t>(seed));
+        const RunResult result =
+            RunCase(fleet_case, outage, uneven, 12345 + static_cast<std::uint64_t>(seed));
         ++runs;
-        over_budget += verdict.over_budget;
-        broken += verdict.broken;
-        served += verdict.served;
-        worst = std::max(worst, verdict.worst);
+        over_budget += result.over_budget;
+        rule_broken += result.rule_broken;
+        served += result.served;
+        worst = std::max(worst, result.worst);
       }
     }
   }
   served /= runs;
-  std::cout << "[   slow   ] " << regime.name << ": " << broken << " of " << runs << " runs broke the rule, "
-            << over_budget << " passed the budget, served " << served << " of the capacity, worst " << worst
-            << '\n';
-  EXPECT_EQ(broken, 0);
-  EXPECT_GE(served, regime.least_served);
+  std::cout << "[   slow   ] " << fleet_case.name << ": " << rule_broken << " of " << runs
+            << " runs broke the rule, " << over_budget << " passed the budget, served " << served
+            << " of the capacity, worst " << worst << '\n';
+  EXPECT_EQ(rule_broken, 0);
+  EXPECT_GE(served, fleet_case.least_served);
 }
 
-const Regime kRegimes[] = {
+const FleetCase kFleetCases[] = {
     {"FewSendersMuchCapacity", 3, 100, 0.9, true, 0, 0.80},   // 0.87, 1
     {"FewSendersLittleCapacity", 3, 4, 1.2, true, 0, 0.64},   // 0.68, 0
     {"FewSendersQuiet", 6, 20, 0.5, true, 0, 0.60},           // 0.74, 0
@@ -134,7 +135,7 @@
     {"Fleet400Tiny", 400, 4, 3.0, true, 0, 0.03},             // 0.04, 0
 };
 
-INSTANTIATE_TEST_SUITE_P(Regimes, SlowStart, ::testing::ValuesIn(kRegimes),
+INSTANTIATE_TEST_SUITE_P(Regimes, SlowStart, ::testing::ValuesIn(kFleetCases),
                          [](const auto& given) { return std::string(given.param.name); });
 
 }  // namespace
