--- a/tests/brain_slow_start_test.cpp
+++ b/tests/brain_slow_start_test.cpp
@@ -74,7 +74,7 @@
     const double over = span.total() - Allowed(settings, fleet_case.capacity, after);
     result.worst = std::max(result.worst, over);
     result.over_budget |= over > 0;
-    result.rule_broken |= over > 0 && span.from_aware * 3 > span.total() * 2;
+    result.rule_broken |= over > 0 && span.from_senders_in_outage * 3 > span.total() * 2;
   }
   const SimulatedFleet::CallCounts cold_time =
       fleet.Between(script.outage_to, script.outage_to + settings.cold);
--- a/tests/simulated_fleet.h
+++ b/tests/simulated_fleet.h
@@ -60,7 +60,7 @@
     int served = 0;
     int refused = 0;
     int failed = 0;
-    int from_aware = 0;  // of all three: from senders that had seen a call fail in the outage
+    int from_senders_in_outage = 0;  // of all three: from senders that had seen a call fail in the outage
     int total() const { return served + refused + failed; }
   };
 
@@ -96,7 +96,7 @@
       sum.served += it->second.served;
       sum.refused += it->second.refused;
       sum.failed += it->second.failed;
-      sum.from_aware += it->second.from_aware;
+      sum.from_senders_in_outage += it->second.from_senders_in_outage;
     }
     return sum;
   }
@@ -113,7 +113,7 @@
     std::multimap<Micros, std::pair<MessageId, Reply>> pending_replies;  // by the time they arrive
     std::size_t sends_seen = 0;                // of node->sends, those that have reached the destination
     std::map<MessageId, Message> undelivered;  // what its journal would hold
-    bool aware = false;                        // one of its calls failed in the outage
+    bool saw_outage = false;                   // one of its calls failed in the outage
   };
 
   void Start(Node& node) {
@@ -158,7 +158,7 @@
         if (reply.result == Result::kOk) sender.undelivered.erase(id);
         const bool in_outage = now_ >= script_.outage_from && now_ < script_.outage_to;
         if (reply.result == Result::kTimeout || (reply.result != Result::kOk && in_outage))
-          sender.aware = true;
+          sender.saw_outage = true;
       }
       if (std::generate_canonical<double, 53>(random_) < probability) {
         node.Enqueue(++last_id_, 7, seconds(12));
@@ -169,7 +169,7 @@
     for (; sender.sends_seen < node.sends.size(); ++sender.sends_seen) {
       const SendRecord& sent = node.sends[sender.sends_seen];
       ++sender.undelivered[sent.id].past.attempts;
-      counts_[now_ / kInterval].from_aware += sender.aware ? 1 : 0;
+      counts_[now_ / kInterval].from_senders_in_outage += sender.saw_outage ? 1 : 0;
       const Reply reply = AnswerCall();
       const Micros latency = reply.result == Result::kTimeout ? sent.timeout : kAnswerLatency;
       sender.pending_replies.emplace(now_ + latency, std::pair(sent.id, reply));
