--- a/tests/node_duplicates_test.cpp
+++ b/tests/node_duplicates_test.cpp
@@ -79,11 +79,13 @@
 };
 
 // Guards against a batch that counts as delivered by the copy of an earlier 204 although nobody has read it.
-TEST_F(DuplicatedNoticeAnswers, ConfirmNoOtherBatch) { Run("HTTP/1.1 204 No Content\r\n\r\n", 60, true); }
+TEST_F(DuplicatedNoticeAnswers, DoNotConfirmAnotherBatch) {
+  Run("HTTP/1.1 204 No Content\r\n\r\n", 60, true);
+}
 
 // Guards against a process that dies or loses a batch when a copy follows an answer that closes the
 // connection.
-TEST_F(DuplicatedNoticeAnswers, AfterACloseDoNoHarm) {
+TEST_F(DuplicatedNoticeAnswers, AreHarmlessAfterAnAnswerWithConnectionClose) {
   Run("HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n", 2, true);
 }
 
@@ -129,7 +131,7 @@
 
 // A refusal promises that the message does not run: its client enqueues it again under another id.
 // Guards against a copy of a refused command that is accepted.
-TEST_F(DuplicatedCommands, OfARefusedCommandAreRefused) {
+TEST_F(DuplicatedCommands, AreRefusedIfTheFirstWasRefused) {
   node.config["settings"]["caps"]["maxOpen"] = 4;
   AnswerBehavior behavior;
   behavior.refused = 0;
