--- a/tests/node_folder_faults_test.cpp
+++ b/tests/node_folder_faults_test.cpp
@@ -70,7 +70,7 @@
 
 // The state folder can't be written when the node starts: the node still serves what it can, and delivers the
 // messages that it resumed.
-TEST_F(SystemFaults, AStartWithAFolderThatCannotBeWritten) {
+TEST_F(SystemFaults, AStartWithAnUnwritableFolderRefusesNewMessagesAndKeepsResumedOnes) {
   EndpointStandIn endpoint;
   ASSERT_TRUE(node.Start());
   ASSERT_EQ(Enqueue("owed", "c=unsafe,d=30000,dest=7"), "+OK");
@@ -87,7 +87,7 @@
 }
 
 // After a kill in the middle of a write, the truncated record is ignored and all records before it are kept.
-TEST_F(SystemFaults, AKillInTheMiddleOfAWrite) {
+TEST_F(SystemFaults, AKillInTheMiddleOfAWriteLosesOnlyTheTruncatedRecord) {
   EndpointStandIn endpoint;
   ASSERT_TRUE(node.Start());
   ASSERT_EQ(Enqueue("whole", "c=unsafe,d=30000,dest=7"), "+OK");
