--- a/tests/node_kill_test.cpp
+++ b/tests/node_kill_test.cpp
@@ -64,7 +64,7 @@
 
 // Steps: accepted, recorded, answered, call recorded, connected, written, response read, result recorded. An
 // accepted message is tried, and never a second time.
-TEST_F(KilledAtEachStep, AnUnsafeMessageThatIsDelivered) {
+TEST_F(KilledAtEachStep, AcceptedUnsafeMessageIsCalledOnceOrReportedAsFailed) {
   EndpointStandIn endpoint([](Socket& s, const HttpRequest&, int) {
     return s.Write(Answer(200, "Connection: close\r\n")), false;  // each call has its own connection
   });
@@ -90,7 +90,7 @@
 
 // Steps of a result that is reported by a notice: decided, recorded, sent, answered, recorded. The notice is
 // sent, and the call is not repeated.
-TEST_F(KilledAtEachStep, AnUnsafeMessageThatFails) {
+TEST_F(KilledAtEachStep, UnsafeMessageWithoutAResponseGetsANoticeAndAtMostOneCall) {
   EndpointStandIn endpoint([](Socket& s, const HttpRequest&, int) { return Hang(s); });
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ListSettler();
@@ -112,7 +112,7 @@
 }
 
 // A repeat after an error takes one more record, and at most one more call for each process.
-TEST_F(KilledAtEachStep, ASafeMessageThatIsTriedTwice) {
+TEST_F(KilledAtEachStep, SafeMessageIsRepeatedAfterAnErrorAndGetsNoNotice) {
   EndpointStandIn endpoint([&](Socket& s, const HttpRequest& request, int) {
     const bool first = endpoint.CallsFor(request.headers.at("x-trace-id")) == 1;
     return s.Write(Answer(first ? 500 : 200, "Connection: close\r\n")), false;
