--- a/tests/node_changes_test.cpp
+++ b/tests/node_changes_test.cpp
@@ -97,9 +97,9 @@
 
 // The process is killed at each step of applying, keeping and rolling back a change: the next start uses one
 // complete generation.
-class KilledAtStep : public ChangesTest, public ::testing::WithParamInterface<const char*> {};
+class KilledAtChangeStep : public ChangesTest, public ::testing::WithParamInterface<const char*> {};
 
-TEST_P(KilledAtStep, NextStartUsesOneCompleteGeneration) {
+TEST_P(KilledAtChangeStep, NextStartUsesOneCompleteGeneration) {
   ListSettler();
   ASSERT_TRUE(node.Start());
   node.Kill(SIGTERM);
@@ -126,7 +126,7 @@
   Settle();
 }
 
-INSTANTIATE_TEST_SUITE_P(EachStep, KilledAtStep,
+INSTANTIATE_TEST_SUITE_P(EachStep, KilledAtChangeStep,
                          ::testing::Values("config.save.open", "config.save.half", "config.save.written",
                                            "config.save.renamed", "config.staged", "config.applied",
                                            "config.keep", "config.kept", "config.undo", "config.undone"));
--- a/tests/node_kill_test.cpp
+++ b/tests/node_kill_test.cpp
@@ -11,11 +11,11 @@
 namespace indigosaddle::testing {
 namespace {
 
-class KilledAtEachStep : public NodeTest {
+class KilledAtMessageStep : public NodeTest {
  protected:
   static constexpr int kSteps = 14;  // more than one message has; the others belong to a later message
 
-  ~KilledAtEachStep() override { UnsetVariables(); }
+  ~KilledAtMessageStep() override { UnsetVariables(); }
   static void UnsetVariables() {
     for (const char* name :
          {"LD_PRELOAD", "ASAN_OPTIONS", "KILL_SHIM_AFTER", "KILL_SHIM_AT", "KILL_SHIM_TOLD"})
@@ -64,7 +64,7 @@
 
 // Steps: accepted, recorded, answered, call recorded, connected, written, response read, result recorded. An
 // accepted message is tried, and never a second time.
-TEST_F(KilledAtEachStep, AcceptedUnsafeMessageIsCalledOnceOrReportedAsFailed) {
+TEST_F(KilledAtMessageStep, AcceptedUnsafeMessageIsCalledOnceOrReportedAsFailed) {
   EndpointStandIn endpoint([](Socket& s, const HttpRequest&, int) {
     return s.Write(Answer(200, "Connection: close\r\n")), false;  // each call has its own connection
   });
@@ -90,7 +90,7 @@
 
 // Steps of a result that is reported by a notice: decided, recorded, sent, answered, recorded. The notice is
 // sent, and the call is not repeated.
-TEST_F(KilledAtEachStep, UnsafeMessageWithoutAResponseGetsANoticeAndAtMostOneCall) {
+TEST_F(KilledAtMessageStep, UnsafeMessageWithoutAResponseGetsANoticeAndAtMostOneCall) {
   EndpointStandIn endpoint([](Socket& s, const HttpRequest&, int) { return Hang(s); });
   platform.Set(PlatformStandIn::Member("s-1", endpoint.address(), 7));
   ListSettler();
@@ -112,7 +112,7 @@
 }
 
 // A repeat after an error takes one more record, and at most one more call for each process.
-TEST_F(KilledAtEachStep, SafeMessageIsRepeatedAfterAnErrorAndGetsNoNotice) {
+TEST_F(KilledAtMessageStep, SafeMessageIsRepeatedAfterAnErrorAndGetsNoNotice) {
   EndpointStandIn endpoint([&](Socket& s, const HttpRequest& request, int) {
     const bool first = endpoint.CallsFor(request.headers.at("x-trace-id")) == 1;
     return s.Write(Answer(first ? 500 : 200, "Connection: close\r\n")), false;
