--- a/tests/call_pool_malformed_answer_test.cpp
+++ b/tests/call_pool_malformed_answer_test.cpp
@@ -9,7 +9,7 @@
 namespace indigosaddle::testing {
 namespace {
 
-class MalformedAnswers : public CallPoolFixture {
+class CallPoolMalformedAnswers : public CallPoolFixture {
  protected:
   net::CallResult ResultOf(const std::string& line, const std::string& headers) {
     Start();
@@ -21,7 +21,7 @@
 };
 
 // A 429 always asks for a pause. An endpoint that gave no readable duration was called again at once.
-TEST_F(MalformedAnswers, A429AlwaysHasARetryAfter) {
+TEST_F(CallPoolMalformedAnswers, A429AlwaysHasARetryAfter) {
   for (const std::string malformed :
        {"", "X-Retry-In-Ms:\r\n", "X-Retry-In-Ms: soon\r\n", "X-Retry-In-Ms: -1\r\n", "X-Retry-In: 5\r\n"}) {
     const net::CallResult result = ResultOf("429 Full", malformed);
@@ -33,7 +33,7 @@
 }
 
 // A 503 asks for a pause only if it has a Retry-After header.
-TEST_F(MalformedAnswers, A503HasARetryAfterOnlyIfTheHeaderIsPresent) {
+TEST_F(CallPoolMalformedAnswers, A503HasARetryAfterOnlyIfTheHeaderIsPresent) {
   EXPECT_EQ(ResultOf("503 Full", "").wait, Micros(0));
   EXPECT_EQ(ResultOf("503 Full", "X-Retry-In-Ms: 250\r\n").wait, milliseconds(250));
   EXPECT_EQ(ResultOf("503 Full", "X-Retry-In-Ms: soon\r\n").wait, net::kUnreadableRetryAfter);
@@ -41,7 +41,7 @@
 }
 
 // Only the exact header value says that no slot was free; with any other the endpoint rejected the call.
-TEST_F(MalformedAnswers, AMalformedNoSlotHeaderIsIgnored) {
+TEST_F(CallPoolMalformedAnswers, AMalformedNoSlotHeaderIsIgnored) {
   EXPECT_EQ(ResultOf("503 Full", "X-No-Slot: 1\r\n").attempt_result, AttemptResult::kNoSlot);
   for (const std::string malformed : {"X-No-Slot: 0\r\n", "X-No-Slot:\r\n", "X-No-Slot: yes\r\n",
                                       "X-No-Slot: 11\r\n", "X-No-Slot: 0\r\nX-No-Slot: 1\r\n"})
@@ -49,7 +49,7 @@
 }
 
 // Read as a 200, such a status completed a message whose call may have failed.
-TEST_F(MalformedAnswers, AStatusThatIsNotThreeDigitsMayHaveRun) {
+TEST_F(CallPoolMalformedAnswers, AStatusThatIsNotThreeDigitsMayHaveRun) {
   for (const std::string malformed : {"0200 OK", "00200 OK", "20 0", "2", "2000"}) {
     const AttemptResult result = ResultOf(malformed, "").attempt_result;
     EXPECT_NE(result, AttemptResult::kDelivered) << malformed;
--- a/tests/node_service_test.cpp
+++ b/tests/node_service_test.cpp
@@ -148,9 +148,9 @@
   EXPECT_FALSE(node.Ended());
 }
 
-class MalformedAnswers : public NodeTest {};
+class NodeMalformedAnswers : public NodeTest {};
 
-TEST_F(MalformedAnswers, RandomAnswersLeaveNoMessageWithoutAResult) {
+TEST_F(NodeMalformedAnswers, RandomAnswersLeaveNoMessageWithoutAResult) {
   std::mt19937 random(7);
   const std::string valid_bytes = Answer(200, "Endpoint-Load-Metrics: x0=0.4,x1=25\r\n") + Answer(503);
   EndpointStandIn endpoint([&](Socket& s, const HttpRequest&, int number) {
@@ -185,7 +185,7 @@
 
 // An answer whose status line says 200 counts as delivered at once, even if the rest is malformed or never
 // ends.
-TEST_F(MalformedAnswers, StatusLineWith200CountsAsDelivered) {
+TEST_F(NodeMalformedAnswers, StatusLineWith200CountsAsDelivered) {
   const std::vector<std::string> answers = {
       "HTTP/1.1 200 OK\r\nX-Endless: ",
       "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore",
@@ -215,7 +215,7 @@
 
 // After any other malformed answer the call may have run, so that an unsafe message fails and is not
 // repeated.
-TEST_F(MalformedAnswers, AnyOtherMalformedAnswerMayHaveRun) {
+TEST_F(NodeMalformedAnswers, AnyOtherMalformedAnswerMayHaveRun) {
   const std::vector<std::string> answers = {
       "HTTP/1.1 503 X\r\nContent-Length: 3000000000\r\n\r\nmore",
       "HTTP/1.1 429 X\r\nContent-Length: five\r\n\r\n",
