--- a/tests/fleet/sites_test.cpp
+++ b/tests/fleet/sites_test.cpp
@@ -15,53 +15,53 @@
   std::optional<SiteStatus> agreed;
   // A site of four members, with eight members elsewhere: all four are seen and in contact, or none is, and
   // `accusers` of the eight see none either.
-  static SiteTally Well() { return {4, 4, 4, 0, 0, 8, 0}; }
-  static SiteTally Gone(int accusers) { return {4, 0, 0, 0, 0, 8, accusers}; }
+  static SiteTally AllPresent() { return {4, 4, 4, 0, 0, 8, 0}; }
+  static SiteTally NonePresent(int accusers) { return {4, 0, 0, 0, 0, 8, accusers}; }
   // Decides at `now` from the status agreed so far, and agrees on the result.
-  SiteState At(Micros now, const SiteTally& tally) {
+  SiteState DecideAt(Micros now, const SiteTally& tally) {
     agreed = sites.Decide("s", tally, agreed, now);
     return agreed->state;
   }
 };
 
 TEST_F(SiteMonitorTest, IsLostByAgreementOnly) {
-  EXPECT_EQ(At(seconds(0), Well()), SiteState::kUp);
-  EXPECT_EQ(At(seconds(1), Gone(1)), SiteState::kUp);
-  EXPECT_EQ(At(seconds(2), Gone(5)), SiteState::kUp);  // of eight elsewhere six are two thirds
-  EXPECT_EQ(At(seconds(3), Gone(6)), SiteState::kLost);
+  EXPECT_EQ(DecideAt(seconds(0), AllPresent()), SiteState::kUp);
+  EXPECT_EQ(DecideAt(seconds(1), NonePresent(1)), SiteState::kUp);
+  EXPECT_EQ(DecideAt(seconds(2), NonePresent(5)), SiteState::kUp);  // of eight elsewhere six are two thirds
+  EXPECT_EQ(DecideAt(seconds(3), NonePresent(6)), SiteState::kLost);
   EXPECT_EQ(agreed->losses, 1);
 }
 
 // A site of which the coordinator sees a member is not lost, however many members accuse it.
 TEST_F(SiteMonitorTest, IsNotLostWhileAnyOfItIsSeen) {
-  SiteTally tally = Gone(8);
+  SiteTally tally = NonePresent(8);
   tally.present = 1;
-  EXPECT_EQ(At(seconds(0), tally), SiteState::kDegraded);
+  EXPECT_EQ(DecideAt(seconds(0), tally), SiteState::kDegraded);
 }
 
 TEST_F(SiteMonitorTest, TellsADegradedSiteFromOneWithoutListOrClients) {
-  SiteTally tally = Well();
+  SiteTally tally = AllPresent();
   tally.present = tally.in_contact = 3;
-  EXPECT_EQ(At(seconds(0), tally), SiteState::kDegraded);
-  tally = Well();
+  EXPECT_EQ(DecideAt(seconds(0), tally), SiteState::kDegraded);
+  tally = AllPresent();
   tally.without_clients = 4;
-  EXPECT_EQ(At(seconds(1), tally), SiteState::kNoClients);
+  EXPECT_EQ(DecideAt(seconds(1), tally), SiteState::kNoClients);
   tally.without_list = 3;
-  EXPECT_EQ(At(seconds(2), tally), SiteState::kNoList);
+  EXPECT_EQ(DecideAt(seconds(2), tally), SiteState::kNoList);
   tally.without_list = tally.without_clients = 1;  // a single member's own problem
-  EXPECT_EQ(At(seconds(3), tally), SiteState::kUp);
+  EXPECT_EQ(DecideAt(seconds(3), tally), SiteState::kUp);
 }
 
 TEST_F(SiteMonitorTest, ReturnsOnceAllHaveSeenItForLongEnough) {
-  At(seconds(0), Well());
-  At(seconds(1), Gone(8));
-  SiteTally seen = Well();
+  DecideAt(seconds(0), AllPresent());
+  DecideAt(seconds(1), NonePresent(8));
+  SiteTally seen = AllPresent();
   seen.accusers = 2;
-  EXPECT_EQ(At(seconds(10), seen), SiteState::kReturning);
-  EXPECT_EQ(At(seconds(100), seen), SiteState::kReturning);  // two still see nobody of it
-  EXPECT_EQ(At(seconds(101), Well()), SiteState::kReturning);
-  EXPECT_EQ(At(seconds(129), Well()), SiteState::kReturning);
-  EXPECT_EQ(At(seconds(131), Well()), SiteState::kUp);
+  EXPECT_EQ(DecideAt(seconds(10), seen), SiteState::kReturning);
+  EXPECT_EQ(DecideAt(seconds(100), seen), SiteState::kReturning);  // two still see nobody of it
+  EXPECT_EQ(DecideAt(seconds(101), AllPresent()), SiteState::kReturning);
+  EXPECT_EQ(DecideAt(seconds(129), AllPresent()), SiteState::kReturning);
+  EXPECT_EQ(DecideAt(seconds(131), AllPresent()), SiteState::kUp);
 }
 
 // Each further loss within the hour doubles the hold, up to the limit; an hour without a loss resets it.
@@ -69,24 +69,25 @@
   EXPECT_EQ(sites.Hold(1), seconds(30));
   EXPECT_EQ(sites.Hold(3), seconds(120));
   EXPECT_EQ(sites.Hold(1000), rules.max_return_hold);
-  At(seconds(0), Well());
+  DecideAt(seconds(0), AllPresent());
   for (int loss = 1; loss <= 3; ++loss) {
-    EXPECT_EQ(At(seconds(100 * loss), Gone(8)), SiteState::kLost);
+    EXPECT_EQ(DecideAt(seconds(100 * loss), NonePresent(8)), SiteState::kLost);
     EXPECT_EQ(agreed->losses, loss);
-    EXPECT_EQ(At(seconds(100 * loss + 10), Well()), SiteState::kReturning);  // lost again before it is up
+    EXPECT_EQ(DecideAt(seconds(100 * loss + 10), AllPresent()),
+              SiteState::kReturning);  // lost again before it is up
   }
-  EXPECT_EQ(At(seconds(310 + 119), Well()), SiteState::kReturning);
-  EXPECT_EQ(At(seconds(310 + 121), Well()), SiteState::kUp);
-  EXPECT_EQ(At(seconds(300 + 3601), Well()), SiteState::kUp);
+  EXPECT_EQ(DecideAt(seconds(310 + 119), AllPresent()), SiteState::kReturning);
+  EXPECT_EQ(DecideAt(seconds(310 + 121), AllPresent()), SiteState::kUp);
+  EXPECT_EQ(DecideAt(seconds(300 + 3601), AllPresent()), SiteState::kUp);
   EXPECT_EQ(agreed->losses, 0);
 }
 
 // A new coordinator knows what was agreed, but not since when: it starts the hold anew.
 TEST_F(SiteMonitorTest, ANewCoordinatorContinuesFromTheAgreedStatus) {
   agreed = SiteStatus{SiteState::kReturning, 2};
-  EXPECT_EQ(At(seconds(1000), Well()), SiteState::kReturning);
-  EXPECT_EQ(At(seconds(1059), Well()), SiteState::kReturning);
-  EXPECT_EQ(At(seconds(1061), Well()), SiteState::kUp);
+  EXPECT_EQ(DecideAt(seconds(1000), AllPresent()), SiteState::kReturning);
+  EXPECT_EQ(DecideAt(seconds(1059), AllPresent()), SiteState::kReturning);
+  EXPECT_EQ(DecideAt(seconds(1061), AllPresent()), SiteState::kUp);
 }
 
 TEST_F(SiteMonitorTest, SerializedTextsAreParsedBack) {
