--- a/tests/node_reload_test.cpp
+++ b/tests/node_reload_test.cpp
@@ -24,29 +24,29 @@
   bool Logged(const std::string& text) {
     return Eventually([&] { return node.log().find(text) != std::string::npos; });
   }
-  PlatformStandIn next;  // at the new address
+  PlatformStandIn new_platform;  // at the new address
 };
 
 TEST_F(ReloadTest, DiscoveryAndNoticesMoveToTheNewAddress) {
   EndpointStandIn before, after;
   platform.Set(PlatformStandIn::Member("s-1", before.address(), 7));
-  next.Set(PlatformStandIn::Member("s-2", after.address(), 8));
+  new_platform.Set(PlatformStandIn::Member("s-2", after.address(), 8));
   ASSERT_TRUE(node.Start());
   ASSERT_EQ(Enqueue("before", "c=safe,d=60000,dest=7"), "+OK");
   ASSERT_TRUE(Eventually([&] { return before.CallsFor("before") == 1; }));
   ClientStandIn client(node.port);
   ASSERT_EQ(client.Ask(ClientStandIn::Command({"PING"})), "+PONG");
-  MoveTo(next.address());
-  ASSERT_TRUE(Eventually([&] { return next.watches() >= 1; }));
+  MoveTo(new_platform.address());
+  ASSERT_TRUE(Eventually([&] { return new_platform.watches() >= 1; }));
   // The connection of the client is kept.
   EXPECT_EQ(client.Ask(ClientStandIn::Enqueue("after", "c=safe,d=60000,dest=8")), "+OK");
   EXPECT_TRUE(Eventually([&] { return after.CallsFor("after") == 1; }));
   // Destination 7 is not in the list of the new address.
   EXPECT_EQ(client.Ask(ClientStandIn::Enqueue("late", "c=unsafe,d=100,dest=7")), "+OK");
-  EXPECT_TRUE(Eventually([&] { return next.notices().contains("late"); }));
+  EXPECT_TRUE(Eventually([&] { return new_platform.notices().contains("late"); }));
   EXPECT_TRUE(platform.notices().empty());
   EXPECT_EQ(before.CallsFor("late"), 0);
-  EXPECT_EQ(next.whole_lists(), 1);
+  EXPECT_EQ(new_platform.whole_lists(), 1);
 }
 
 // Seen in operations: after a move to an address where nothing listened, the node got no more updates and
@@ -68,8 +68,8 @@
   ASSERT_TRUE(node.Start());
   ASSERT_EQ(Enqueue("late", "c=unsafe,d=50,dest=7"), "+OK");
   ASSERT_TRUE(Eventually([&] { return platform.notice_posts() >= 1; }));
-  MoveTo(next.address());
-  EXPECT_TRUE(Eventually([&] { return next.notices().contains("late"); }));
+  MoveTo(new_platform.address());
+  EXPECT_TRUE(Eventually([&] { return new_platform.notices().contains("late"); }));
 }
 
 TEST_F(ReloadTest, ABadFileIsLoggedAndTheOldConfigurationStaysInForce) {
@@ -107,11 +107,11 @@
 
 TEST_F(ReloadTest, SeveralSignalsInARowAndOneDuringAStopDoNotEndTheNode) {
   ListSettler();
-  next.Set(PlatformStandIn::Member("settler", settler.address(), 99));
+  new_platform.Set(PlatformStandIn::Member("settler", settler.address(), 99));
   ASSERT_TRUE(node.Start());
-  for (int i = 0; i < 20; ++i) MoveTo(i % 2 == 0 ? next.address() : platform.address());
-  MoveTo(next.address());
-  ASSERT_TRUE(Eventually([&] { return next.watches() >= 1; }));
+  for (int i = 0; i < 20; ++i) MoveTo(i % 2 == 0 ? new_platform.address() : platform.address());
+  MoveTo(new_platform.address());
+  ASSERT_TRUE(Eventually([&] { return new_platform.watches() >= 1; }));
   Settle();
   node.Signal(SIGTERM);
   MoveTo(platform.address());
