--- a/tests/state_damage_test.cpp
+++ b/tests/state_damage_test.cpp
@@ -78,9 +78,10 @@
   EXPECT_NE(ParseChanged(SampleMessage(1), last(2, 1)).error, "") << "order";
   EXPECT_NE(ParseChanged(SampleMessage(1), [](std::string& body) { body[0] = 7; }).error, "") << "kind";
   const AttemptHistory resumed{1, {4, true, seconds(2), 1}, ""};
-  const std::size_t behind = 4 + 8;  // bytes after the fields changed here: the zone's name, the first run
-  EXPECT_NE(ParseChanged(resumed, last(2, behind + 1)).error, "") << "may have run";
-  EXPECT_NE(ParseChanged(resumed, last('\xff', behind + 2)).error, "") << "attempts below 0";
+  const std::size_t trailing_bytes =
+      4 + 8;  // bytes after the fields changed here: the zone's name, the first run
+  EXPECT_NE(ParseChanged(resumed, last(2, trailing_bytes + 1)).error, "") << "may have run";
+  EXPECT_NE(ParseChanged(resumed, last('\xff', trailing_bytes + 2)).error, "") << "attempts below 0";
   for (const Serial serial : {Serial{0}, ~Serial{0}})
     EXPECT_NE(
         ParseChanged(SampleMessage(1), [&](std::string& b) { b.replace(1, 8, LittleEndianBytes(serial, 8)); })
