--- a/tests/node_rule_paths_test.cpp
+++ b/tests/node_rule_paths_test.cpp
@@ -106,7 +106,7 @@
 
 // The rules treat both processes as one node. The successor has another file and takes over the messages of
 // its predecessor.
-TEST_F(RulePaths, ASuccessorWithOtherSettingsKeepsTheRulesOfInheritedAndImmediateMessages) {
+TEST_F(RulePaths, ASuccessorWithOtherSettingsKeepsTheRulesOfInheritedAndNewMessages) {
   EndpointStandIn slow([](Socket& s, const HttpRequest&, int) { return Hang(s); });
   platform.Set(PlatformStandIn::Member("s-2", slow.address(), 8));
   StartNode();
