--- a/tests/brain_many_senders_test.cpp
+++ b/tests/brain_many_senders_test.cpp
@@ -56,8 +56,8 @@
 // stops refusing. Found by the rule search (hunt --rules, hb571f1 and hde0a01).
 TEST(RetryAfter, SendersDoNotAllCallInTheInstantInWhichItEnds) {
   std::set<Micros> delays;
-  int at_once = 0;
-  int came = 0;
+  int senders_back_within_half_a_second = 0;
+  int senders_back = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Settings s = ManySenders();
     s.seed = seed;
@@ -74,11 +74,12 @@
     if (node.CountSends(MessageId{1}) < 2) continue;  // its part of what 200 may send is below one call
     const Micros after = node.sends.back().at - kStart - milliseconds(6020);
     EXPECT_GE(after, Micros(0));  // rule 6: Retry-After is heeded
-    at_once += after <= milliseconds(500);
-    ++came;
+    senders_back_within_half_a_second += after <= milliseconds(500);
+    ++senders_back;
     delays.insert(after);
   }
-  EXPECT_LE(at_once * 5, came);  // at most a fifth of the senders that called again
+  EXPECT_LE(senders_back_within_half_a_second * 5,
+            senders_back);  // at most a fifth of the senders that called again
   EXPECT_GE(delays.size(), 25U);
 }
 
