--- a/tests/fleet/fleet_wire_test.cpp
+++ b/tests/fleet/fleet_wire_test.cpp
@@ -19,7 +19,7 @@
   return {name, start, incarnation, liveness, accuser};
 }
 
-Packet Whole() {
+Packet SamplePacket() {
   Packet packet;
   packet.kind = PacketKind::kLease;
   packet.from = "node-1", packet.start = 1764600000000, packet.incarnation = 3,
@@ -32,7 +32,7 @@
 }
 
 TEST(FleetWire, DecodingAnEncodedPacketGivesTheSamePacket) {
-  const Packet packet = Whole();
+  const Packet packet = SamplePacket();
   const auto read = Decode(Encode(packet));
   ASSERT_TRUE(read);
   EXPECT_TRUE(*read == packet);
@@ -41,7 +41,7 @@
 TEST(FleetWire, DamagedBytesAreRejectedOrStayWithinTheLimits) {
   EXPECT_FALSE(Decode(""));
   EXPECT_FALSE(Decode("GET / HTTP/1.1\r\n"));
-  const std::string good = Encode(Whole());
+  const std::string good = Encode(SamplePacket());
   std::mt19937 random(3);
   for (int i = 0; i < 20000; ++i) {
     std::string bytes = good;
@@ -62,7 +62,7 @@
 
 TEST(FleetWire, InvalidValuesAreRejected) {
   const auto refused = [](auto change) {
-    Packet packet = Whole();
+    Packet packet = SamplePacket();
     change(packet);
     return !Decode(Encode(packet)).has_value();
   };
@@ -79,7 +79,7 @@
 // earlier process, a lease that nobody holds, a ballot never promised or a fact without an epoch.
 TEST(FleetWire, MissingFieldsAreRejected) {
   const auto refused = [](auto change) {
-    Packet packet = Whole();
+    Packet packet = SamplePacket();
     change(packet);
     return !Decode(Encode(packet)).has_value();
   };
@@ -99,7 +99,7 @@
 // Each kind of lease message must have the fields of its kind, and no ballot that its kind does not carry.
 TEST(FleetWire, LeaseMessagesWithoutAFieldOfTheirKindAreRejected) {
   const auto read = [](const LeaseMessage& message) {
-    Packet packet = Whole();
+    Packet packet = SamplePacket();
     packet.leases = {message};
     return Decode(Encode(packet)).has_value();
   };
@@ -137,7 +137,7 @@
 // "no lease runs".
 TEST(FleetWire, AnAcceptedBallotWithoutItsCounterIsRejected) {
   using std::string_view_literals::operator""sv;
-  Packet packet = Whole();
+  Packet packet = SamplePacket();
   packet.leases.clear();
   const std::string head = Encode(packet) + std::string("\x5a");
   constexpr std::string_view kPromise =
@@ -161,7 +161,7 @@
 TEST(FleetWire, NumbersThatWouldOverflowAreRejected) {
   constexpr std::uint64_t kLast = ~std::uint64_t{0};
   const auto refused = [](auto change) {
-    Packet packet = Whole();
+    Packet packet = SamplePacket();
     change(packet);
     return !Decode(Encode(packet)).has_value();
   };
