--- a/tests/brain_many_senders_test.cpp
+++ b/tests/brain_many_senders_test.cpp
@@ -53,7 +53,7 @@
 }
 
 // Guards against all senders calling in the instant in which a common Retry-After ends, when the destination
-// stops refusing. Found by the rule search (hunt --rules, hb571f1 and hde0a01).
+// stops refusing. Found by the rule search of the simulator, seeds hb571f1 and hde0a01.
 TEST(RetryAfter, SendersDoNotAllCallInTheInstantInWhichItEnds) {
   std::set<Micros> delays;
   int senders_back_within_half_a_second = 0;
--- a/tests/complete_settings.h
+++ b/tests/complete_settings.h
@@ -1,5 +1,5 @@
-// Settings with every key that the specification gives to the settings of a deployment (WIRE section 14), for
-// one zone and one kind of destination, and the paths of those keys.
+// Settings with every key that the specification gives to the settings of a deployment, for one zone and
+// one kind of destination, and the paths of those keys.
 #pragma once
 
 #include <nlohmann/json.hpp>
