--- a/tests/duplicates.h
+++ b/tests/duplicates.h
@@ -92,10 +92,10 @@
           std::count_if(own.begin(), own.end(), [](const RecordedCall& call) { return call.status != 503; });
       evaluation.repeated += may_have_run > 1 ? 1 : 0;
     }
-    std::cout << "[  judged  ] " << evaluation.accepted << " taken on, " << evaluation.lost << " lost, "
+    std::cout << "[ results  ] " << evaluation.accepted << " accepted, " << evaluation.lost << " lost, "
               << evaluation.concurrent << " with two calls at once, " << evaluation.repeated
-              << " called again though it may have run, " << notices.size() << " notices, "
-              << DuplicateCount() << " copies, " << Connections() << " connections\n";
+              << " called again although an earlier call may have run, " << notices.size() << " notices, "
+              << DuplicateCount() << " duplicate responses, " << Connections() << " connections\n";
     return evaluation;
   }
   void ExpectNoneLostOrConcurrent() {
