--- a/tests/net_watch_silence_test.cpp
+++ b/tests/net_watch_silence_test.cpp
@@ -1,6 +1,6 @@
-// A silent watch counts as broken, and the node must know a change that it misses within 6 s. So
-// the time from its last byte to a new watch on a new connection stays well below that, with time for the new
-// watch's answer. Runs against a stand-in of discovery on loopback.
+// A silent watch counts as broken, and the node must know a change that it misses within 6 s. So the time
+// from its last byte to a new watch on a new connection stays well below that, with time for the new watch's
+// answer. Runs against a stand-in of discovery on loopback.
 #include <gtest/gtest.h>
 
 #include <chrono>
